--- a/packages/hornbeampaddle/hornbeampaddle/cell/candidates.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/candidates.py
@@ -1,11 +1,11 @@
 """
-Find the workers that may take a step without looking at each of them.
+Find candidate workers for a step without examining each worker again.
 
-In a full cell a decision places few tasks and finds no place for dozens of steps. What
-they ask of the workers is worked out once for each kind of step.
+In a full cell, a decision places few tasks and finds no worker for dozens of steps. The
+candidates are therefore computed once for each kind of step and cached.
 
-A decision only takes room, so what was worked out at its beginning is never too little;
-the caller checks exactly.
+Within a decision, free room only shrinks, so a cached result never omits a suitable
+worker. It may include unsuitable ones: the caller checks exactly.
 """
 
 import math
@@ -19,50 +19,55 @@
 from .placing import FILLER_SPARE_RATIO, suits
 from .workers import WorkerState
 
-# Rounding may hide this much of a core, in thousandths; the caller checks exactly.
+# Tolerance for rounding errors, in thousandths of a core; the caller checks exactly.
 ROUNDING_MILLIS = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class Group:
-    """The usable workers of a service with a label; each has at least so much."""
+class WorkerGroup:
+    """
+    The usable workers of a service with a label.
+
+    ``minimum`` is the capacity that each of them has at least.
+    """
 
     workers: list[WorkerState]
-    least: Resources
+    minimum: Resources
 
 
 @dataclass(frozen=True, slots=True)
-class Opening:
+class FillerHeadroom:
     """
-    The largest filler of an image that a worker is open to.
+    The largest filler of an image that a worker can accept.
 
-    Up to ``quiet_millis`` it disturbs nobody, up to ``spare_millis`` it finds
-    processors.
+    A filler that needs up to ``undisturbed_millis`` interferes with no serving task,
+    and one that needs up to ``spare_millis`` finds spare CPU. Both are in thousandths
+    of a core.
     """
 
-    quiet_millis: float
+    undisturbed_millis: float
     spare_millis: float
     worker: WorkerState
 
 
 class Candidates:
-    """The workers that one decision may use."""
+    """The workers that one decision may use, with cached lookups by step."""
 
     def __init__(self, usable: list[WorkerState], model: Interference) -> None:
-        """Take in the workers; nothing is worked out yet."""
+        """Store the workers; lookups are computed on first use."""
         self._usable = usable
         self._model = model
-        self._groups: dict[tuple[str, str], Group] = {}
-        self._openings: dict[tuple[str, str, str], list[Opening]] = {}
+        self._groups: dict[tuple[str, str], WorkerGroup] = {}
+        self._headrooms: dict[tuple[str, str, str], list[FillerHeadroom]] = {}
 
     def suited(self, service: str, step: Step) -> list[WorkerState]:
         """Return the workers that could ever run a task of a step."""
         group = self._group(service, step)
-        if step.need.fits_in(group.least):
+        if step.need.fits_in(group.minimum):
             return group.workers
         return [worker for worker in group.workers if suits(step, worker)]
 
-    def _group(self, service: str, step: Step) -> Group:
+    def _group(self, service: str, step: Step) -> WorkerGroup:
         key = (service, step.worker_label)
         group = self._groups.get(key)
         if group is None:
@@ -74,52 +79,58 @@
                     not step.worker_label or step.worker_label in worker.listing.labels
                 )
             ]
-            group = self._groups[key] = Group(workers, _least(workers))
+            group = self._groups[key] = WorkerGroup(workers, _minimum_of(workers))
         return group
 
-    def open_to(self, service: str, step: Step) -> list[WorkerState]:
-        """Return the workers where a filler disturbs nobody and finds processors."""
+    def accepting(self, service: str, step: Step) -> list[WorkerState]:
+        """Return the workers where a filler does not interfere and has spare CPU."""
         needed = FILLER_SPARE_RATIO * step.need.cpu_millis - ROUNDING_MILLIS
         return [
-            opening.worker
-            for opening in self._quiet(service, step)
-            if opening.spare_millis >= needed
+            headroom.worker
+            for headroom in self._undisturbed(service, step)
+            if headroom.spare_millis >= needed
         ]
 
-    def quiet_for(self, service: str, step: Step) -> Iterator[WorkerState]:
-        """Return the workers where a filler disturbs nobody, busy or not."""
-        return (opening.worker for opening in self._quiet(service, step))
+    def undisturbed_by(self, service: str, step: Step) -> Iterator[WorkerState]:
+        """Return the workers where a filler does not interfere, busy or not."""
+        return (headroom.worker for headroom in self._undisturbed(service, step))
 
-    def _quiet(self, service: str, step: Step) -> Iterator[Opening]:
-        least = step.need.cpu_millis - ROUNDING_MILLIS
-        openings = self._openings_for(service, step)
-        return takewhile(lambda opening: opening.quiet_millis >= least, openings)
+    def _undisturbed(self, service: str, step: Step) -> Iterator[FillerHeadroom]:
+        minimum = step.need.cpu_millis - ROUNDING_MILLIS
+        headrooms = self._headrooms_for(service, step)
+        return takewhile(
+            lambda headroom: headroom.undisturbed_millis >= minimum, headrooms
+        )
 
-    def _openings_for(self, service: str, step: Step) -> list[Opening]:
-        """Return what each worker is open to, the largest opening first."""
+    def _headrooms_for(self, service: str, step: Step) -> list[FillerHeadroom]:
+        """Return the filler headroom of each worker, the largest first."""
         key = (service, step.worker_label, step.image)
-        openings = self._openings.get(key)
-        if openings is None:
+        headrooms = self._headrooms.get(key)
+        if headrooms is None:
             workers = self._group(service, step).workers
-            openings = [self._opening(worker, step.image) for worker in workers]
-            openings.sort(key=lambda opening: opening.quiet_millis, reverse=True)
-            self._openings[key] = openings
-        return openings
-
-    def _opening(self, worker: WorkerState, image: str) -> Opening:
-        quiet_millis = 0.0
+            headrooms = [
+                self._filler_headroom(worker, step.image) for worker in workers
+            ]
+            headrooms.sort(
+                key=lambda headroom: headroom.undisturbed_millis, reverse=True
+            )
+            self._headrooms[key] = headrooms
+        return headrooms
+
+    def _filler_headroom(self, worker: WorkerState, image: str) -> FillerHeadroom:
+        undisturbed_millis = 0.0
         if worker.over_since_s is None:
             room = worker.filler_room(image, self._model)
-            quiet_millis = room.share * worker.listing.capacity.cpu_millis
-        # Where no filler works yet, one may use whatever the others leave.
+            undisturbed_millis = room.share * worker.listing.capacity.cpu_millis
+        # Where no filler runs yet, one may use whatever the other tasks leave.
         spare_millis = math.inf
         if worker.filler_cpu_millis:
             spare_millis = worker.spare_cpu_millis()
-        return Opening(quiet_millis, spare_millis, worker)
+        return FillerHeadroom(undisturbed_millis, spare_millis, worker)
 
 
-def _least(workers: Iterable[WorkerState]) -> Resources:
-    """Return the smallest of each resource; nothing at all if there is no worker."""
+def _minimum_of(workers: Iterable[WorkerState]) -> Resources:
+    """Return the minimum capacity per resource; all zero if there is no worker."""
     capacities = [worker.listing.capacity for worker in workers]
     return Resources(
         min((room.cpu_millis for room in capacities), default=0),
--- a/packages/hornbeampaddle/hornbeampaddle/cell/gangs.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/gangs.py
@@ -1,4 +1,8 @@
-"""Place gangs: all members at once, on one rack if that is asked for, or none."""
+"""
+Place gangs: all members at the same time, or none.
+
+A gang that asks for a single rack is placed within one if possible.
+"""
 
 from collections.abc import Iterator
 from typing import TYPE_CHECKING
@@ -15,22 +19,22 @@
     cell: "Scheduler",
     step: StepState,
     workers: list[WorkerState],
-    at_any_pace: bool = False,
+    allow_reduced_pace: bool = False,
 ) -> list[WorkerState] | None:
     """
-    Return a worker for each member, in their order, or nothing.
+    Return a worker for each member, in the order of the members, or None.
 
-    ``at_any_pace`` takes workers where fillers have to work slowly.
+    ``allow_reduced_pace`` also considers workers where fillers must run slowly.
     """
-    for group in _rooms(step, workers):
-        chosen = _trial(cell, step, group, at_any_pace)
+    for group in _worker_groups(step, workers):
+        chosen = _try_placement(cell, step, group, allow_reduced_pace)
         if chosen is not None:
             return chosen
     return None
 
 
-def begin_run(step: StepState) -> None:
-    """Let all members go on from one checkpoint, under one number."""
+def align_members(step: StepState) -> None:
+    """Make all members resume from the same checkpoint with the same run number."""
     last_run = max(task.last_run for task in step.tasks)
     checkpoint = next((t.checkpoint for t in step.tasks if t.checkpoint), "")
     for task in step.tasks:
@@ -38,18 +42,27 @@
         task.checkpoint = checkpoint
 
 
-def _rooms(step: StepState, workers: list[WorkerState]) -> Iterator[list[WorkerState]]:
+def _worker_groups(
+    step: StepState, workers: list[WorkerState]
+) -> Iterator[list[WorkerState]]:
     if step.step.one_rack:
         for rack in sorted({w.listing.rack for w in workers}):
             yield [w for w in workers if w.listing.rack == rack]
     yield workers
 
 
-def _trial(
-    cell: "Scheduler", step: StepState, workers: list[WorkerState], at_any_pace: bool
+def _try_placement(
+    cell: "Scheduler",
+    step: StepState,
+    workers: list[WorkerState],
+    allow_reduced_pace: bool,
 ) -> list[WorkerState] | None:
-    """Book each member for a moment; return the workers, or nothing."""
-    ranking = Ranking(step.key.job_id, step.step, cell.model, {}, at_any_pace)
+    """
+    Return a worker for each member, or None if they do not all fit.
+
+    Members are booked temporarily, so that each is placed with regard to the others.
+    """
+    ranking = Ranking(step.key.job_id, step.step, cell.model, {}, allow_reduced_pace)
     ranking.fill(workers)
     booked: list[tuple[WorkerState, Run]] = []
     for task in step.tasks:
--- a/packages/hornbeampaddle/hornbeampaddle/cell/moving.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/moving.py
@@ -1,11 +1,10 @@
 """
-Move fillers away from where they disturb or stand still.
+Move fillers off workers where they interfere with serving tasks or are slowed down.
 
-A stop saves a checkpoint; the task starts again elsewhere from it, or waits
-until there is a place. Only tasks that save checkpoints move. A filler that is
-only slow moves when another worker is clearly better, one that disturbs also
-when there is none: a task over its target costs its users more than a batch
-task that waits.
+Stopping a task saves a checkpoint, from which it resumes on another worker once one has
+room. Only tasks that save checkpoints are moved. A filler that is merely slow moves if
+another worker is clearly better. A filler that interferes moves in any case: a serving
+task over its latency target costs users more than a batch task that waits.
 """
 
 from typing import TYPE_CHECKING
@@ -16,30 +15,31 @@
 if TYPE_CHECKING:
     from .scheduler import Scheduler
 
-# A filler has been slow for so long before it moves: shorter than the swing of
-# a serving task's load, longer than one correction of the pace.
-SLOW_FOR_S = 0.9
-# Moves at a time: each changes what the next one would see.
-MOVES_AT_ONCE = 6
-# The whole cell is looked over this often.
-LOOK_EVERY_S = 0.4
+# How long a filler must have been slow before it moves. This is shorter than a load
+# cycle of a serving task and longer than one correction of the pace.
+SLOW_BEFORE_MOVE_S = 0.9
+# Maximum number of fillers moved in one scan. Each move changes the conditions on which
+# the next would be decided.
+MOVES_PER_SCAN_MAX = 6
+# Interval between scans of the cell for slow fillers.
+SCAN_INTERVAL_S = 0.4
 
 
 def move_slow_fillers(cell: "Scheduler", now_s: float) -> None:
-    """Stop some fillers that would run better elsewhere."""
-    if now_s < cell.moves_looked_at_s + LOOK_EVERY_S:
+    """Stop slow fillers that interfere or would run better on another worker."""
+    if now_s < cell.moves_looked_at_s + SCAN_INTERVAL_S:
         return
     cell.moves_looked_at_s = now_s
     moved = 0
-    for run in _slow(cell, now_s):
-        if moved >= MOVES_AT_ONCE:
+    for run in _slow_runs(cell, now_s):
+        if moved >= MOVES_PER_SCAN_MAX:
             return
-        if _disturbs(cell, run) or _better_exists(cell, run, now_s):
+        if _disturbs(cell, run) or _better_worker_exists(cell, run, now_s):
             cell.stop(run, "moves_away")
             moved += 1
 
 
-def _slow(cell: "Scheduler", now_s: float) -> list[Run]:
+def _slow_runs(cell: "Scheduler", now_s: float) -> list[Run]:
     slow = [
         run
         for worker in cell.workers.values()
@@ -48,8 +48,8 @@
         and run.phase is RunPhase.RUNNING
         and run.step.saves_checkpoints
         and not run.step.gang
-        and now_s - run.slow_since_s > SLOW_FOR_S
-        and now_s - run.confirmed_at_s > SLOW_FOR_S
+        and now_s - run.slow_since_s > SLOW_BEFORE_MOVE_S
+        and now_s - run.confirmed_at_s > SLOW_BEFORE_MOVE_S
     ]
     return sorted(slow, key=lambda run: run.slow_since_s or 0.0)
 
@@ -60,7 +60,7 @@
     return allowed < run.pace_percent / 100
 
 
-def _better_exists(cell: "Scheduler", run: Run, now_s: float) -> bool:
+def _better_worker_exists(cell: "Scheduler", run: Run, now_s: float) -> bool:
     here = cell.workers[run.worker_id]
     need_millis = run.step.need.cpu_millis
     for worker in cell.workers.values():
@@ -75,11 +75,11 @@
         score = filler_score(run.step, worker, cell.model)
         if score is None:
             continue
-        if score >= need_millis * ROOM_RATIO and worker.over_since_s is None:
+        if score >= need_millis * SPARE_RATIO_MIN and worker.over_since_s is None:
             return True
     return False
 
 
-# The other worker has at least this share of the filler's need to spare, after
-# what its pressure counts for.
-ROOM_RATIO = 0.5
+# Minimum spare CPU on another worker, as a share of the filler's need, after deducting
+# the cost of its interference there.
+SPARE_RATIO_MIN = 0.5
--- a/packages/hornbeampaddle/hornbeampaddle/cell/preempting.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/preempting.py
@@ -1,9 +1,9 @@
 """
-Stop lasting tasks to make room for urgent tasks that end soon.
+Preempt long-running tasks to make room for short urgent tasks.
 
-A latency-critical job needs a few cores for about a second; a lasting task
-holds several times that for minutes. Stopping one for a moment costs its users
-a second or two of one task; not stopping it makes the whole urgent job late.
+A latency-critical job needs a few cores for about a second, while a long-running task
+holds several times as many for minutes. Preempting one makes a single task unavailable
+to its users for a second or two. Without preemption, the whole urgent job is late.
 """
 
 from typing import TYPE_CHECKING
@@ -15,20 +15,20 @@
     from .scheduler import Scheduler
 
 REASON = "makes_room"
-# At most this share of the running lasting tasks is on its way out for others at once.
-# Those that have ended and wait for a place do not count: under a pressing load there
-# are so many of them that urgent jobs would find no room.
-AWAY_RATIO = 0.08
-# A task that has just come back is left alone for so long: it has to start up
-# before it serves anybody.
-UNDISTURBED_S = 2.0
+# Maximum share of the running long-running tasks that may be stopping for preemption at
+# the same time. Preempted tasks that have ended and wait for a worker are not counted:
+# under heavy load there are so many that urgent jobs would find no room.
+STOPPING_RATIO_MAX = 0.08
+# Minimum time that a task runs before it may be preempted, since it must finish
+# starting up before it serves any user.
+PREEMPTION_COOLDOWN_S = 2.0
 
 
 def make_room(
     cell: "Scheduler", state: JobState, step: StepState, now_s: float
 ) -> None:
-    """Stop as many lasting tasks as the waiting tasks of a step need."""
-    missing = len(step.waiting()) - _promised(cell, step)
+    """Preempt as many long-running tasks as the waiting tasks of a step need."""
+    missing = len(step.waiting()) - _expected_slots(cell, step)
     budget = _budget(cell)
     while missing > 0 and budget > 0:
         victim = _victim(cell, state, step, now_s)
@@ -40,7 +40,7 @@
         cell.stop(victim, REASON)
 
 
-def _lasting(cell: "Scheduler") -> list[Run]:
+def _lasting_runs(cell: "Scheduler") -> list[Run]:
     return [
         run
         for worker in cell.workers.values()
@@ -50,13 +50,13 @@
 
 
 def _budget(cell: "Scheduler") -> int:
-    lasting = _lasting(cell)
+    lasting = _lasting_runs(cell)
     away = sum(run.stop_reason == REASON for run in lasting)
-    return int(AWAY_RATIO * len(lasting)) - away
+    return int(STOPPING_RATIO_MAX * len(lasting)) - away
 
 
-def _promised(cell: "Scheduler", step: StepState) -> int:
-    """Count the tasks that fit once the lasting tasks on their way out are gone."""
+def _expected_slots(cell: "Scheduler", step: StepState) -> int:
+    """Return how many tasks of a step fit once the tasks being preempted have ended."""
     slots = 0
     for worker in cell.workers.values():
         leaving = [r for r in worker.runs.values() if r.stop_reason == REASON]
@@ -75,7 +75,7 @@
 def _victim(
     cell: "Scheduler", state: JobState, step: StepState, now_s: float
 ) -> Run | None:
-    """Return the lasting task whose stop costs least for the room it makes."""
+    """Return the long-running task with the lowest cost per task it makes room for."""
     service = cell.service_of(state.job)
     best: tuple[float, float, Run] | None = None
     for worker in cell.workers.values():
@@ -84,7 +84,7 @@
         if any(run.stop_reason == REASON for run in worker.runs.values()):
             continue
         for run in worker.runs.values():
-            if not _may_leave(cell, run, state, now_s):
+            if not _may_preempt(cell, run, state, now_s):
                 continue
             slots = _slots_after(worker, run, step)
             if slots < 1:
@@ -96,13 +96,13 @@
     return best[2] if best is not None else None
 
 
-def _may_leave(cell: "Scheduler", run: Run, state: JobState, now_s: float) -> bool:
+def _may_preempt(cell: "Scheduler", run: Run, state: JobState, now_s: float) -> bool:
     if not run.step.lasting or run.phase is not RunPhase.RUNNING:
         return False
     if run.step.unavailable_max or run.step.gang:
-        # The operator bounds how many of these may be away through us.
+        # The operator limits how many of these the scheduler may make unavailable.
         return False
     owner = cell.jobs.get(run.key.job_id)
     if owner is None or owner.job.queue.priority < state.job.queue.priority:
         return False
-    return now_s - run.confirmed_at_s > UNDISTURBED_S
+    return now_s - run.confirmed_at_s > PREEMPTION_COOLDOWN_S
--- a/packages/hornbeampaddle/hornbeampaddle/cell/sampling.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/sampling.py
@@ -10,7 +10,7 @@
 from typing import TYPE_CHECKING
 
 from .crashes import suspected
-from .placing import has_spare
+from .placing import has_spare_cpu
 from .workers import WorkerState
 
 if TYPE_CHECKING:
@@ -41,7 +41,7 @@
     """
     Start the tasks of a step that fit on the sampled workers.
 
-    A task that does not fit is not recorded as a misfit or given a wait reason: the
+    A task that does not fit is not recorded as unplaceable or given a wait reason: the
     caller then tries its step on all workers. Gangs and steps restricted by advice, a
     data rack or a worker label are left to that second pass.
     """
@@ -51,10 +51,10 @@
     ranking = turn.ranking()
     ranking.fill(workers)
     for task in turn.step.waiting():
-        if suspected(task) or turn.cell.separator.reserved(task.key) is not None:
+        if suspected(task) or turn.cell.separator.reserved_worker(task.key) is not None:
             continue
         worker = ranking.choose(task.key, task.last_worker_id)
-        if worker is None or (step.filler and not has_spare(step, worker)):
+        if worker is None or (step.filler and not has_spare_cpu(step, worker)):
             return
         turn.start(task, worker)
         ranking.booked(worker)
--- a/packages/hornbeampaddle/hornbeampaddle/cell/separating.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/separating.py
@@ -1,12 +1,13 @@
 """
-Bring serving tasks together by what disturbs them and by when their users come.
-
-A filler may use the spare processors of a worker only where it disturbs none of the
-tasks that serve there: one sensitive task among tolerant ones, or one at its highest
-load among idle ones, closes the whole worker. Where fillers wait, tasks change places
-in pairs, or move to free room, when that opens enough processors over the coming swing:
-they are stopped, and each starts again on the other worker, where its room is reserved
-meanwhile.
+Group serving tasks by the fillers that affect them and by when their load peaks.
+
+A filler (best-effort task) may use a worker's spare CPU only if it interferes with none
+of the serving tasks there. One sensitive task among tolerant ones, or one at peak load
+among idle ones, makes the whole worker's spare CPU unavailable. Sensitive tasks are
+therefore separated from tolerant ones. While fillers wait, pairs of serving tasks are
+exchanged, or single ones relocated to free room, if that makes enough CPU available to
+fillers over the next load cycle. The tasks are stopped and started again on the other
+worker, where room is reserved for them in the meantime.
 """
 
 from collections.abc import Iterator
@@ -27,37 +28,41 @@
 T = TypeVar("T")
 
 REASON = "separates"
-# The whole cell is looked over this often: an exchange takes about a second.
-LOOK_EVERY_S = 0.4
-# A move costs the users of a task about a second of it. It has to open so many
-# thousandths of a core over the coming swing for each task that moves.
+# Interval between scans of the cell for moves. An exchange takes about a second.
+SCAN_INTERVAL_S = 0.4
+# Minimum gain of a move for each task moved: CPU made available to fillers over the
+# next load cycle, in thousandths of a core. A move makes the task unavailable to its
+# users for about a second.
 GAIN_MILLIS_MIN = 1000.0
-# At most this share of the serving tasks is away for exchanges at a time.
-AWAY_RATIO = 0.12
-# A task that has just come back is left alone for so long.
-UNDISTURBED_S = 6.0
-# Room stays reserved for so long: a stop, its report and a start take 1 s, with one
-# answer lost 2 s.
-RESERVED_S = 2.5
-# A lasting task that has waited for so long finds no room: one that changes places is
-# back before its reservation is over.
-SHORT_AFTER_S = 3.0
-# Tasks that are compared in one look, at most: those whose leaving opens most, each
-# with so many others, drawn anew each time.
-LEAVING_MAX = 16
-PARTNERS_MAX = 12
-# Workers that are looked at in one look, drawn anew each time: all who wait for a start
-# wait for the look.
-PLACES_MAX = 80
+# Maximum share of the serving tasks that may be moving at the same time.
+MOVING_RATIO_MAX = 0.12
+# Minimum time that a task runs between its start and its next move.
+MOVE_COOLDOWN_S = 6.0
+# How long room stays reserved for a moving task. A stop, its report and a start take
+# 1 s in total, or 2 s if one response is lost.
+RESERVATION_TIMEOUT_S = 2.5
+# A long-running task that has waited longer than this is taken to find no room. A task
+# that is being moved restarts before its reservation expires, which is sooner.
+ROOM_SHORTAGE_WAIT_S = 3.0
+# Maximum number of tasks considered for a move in one scan, those with the largest gain
+# first.
+CANDIDATES_MAX = 16
+# Maximum number of tasks, and of workers, that each of them is compared with. They are
+# sampled anew each time.
+PARTNERS_PER_CANDIDATE_MAX = 12
+# Maximum number of workers examined in one scan, sampled anew for each scan. All
+# waiting starts are delayed while a scan runs.
+SAMPLED_WORKERS_MAX = 80
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
     """
-    A worker as fillers see it.
+    A worker and the CPU it makes available to fillers.
 
-    ``kinds`` are those of its serving tasks, with repeats; ``reserved_millis`` is what
-    they reserve together, ``value_millis`` how much the worker opens to fillers.
+    ``kinds`` lists the kind of each of its serving tasks, with repeats.
+    ``reserved_millis`` is the CPU they reserve in total, ``value_millis`` the CPU that
+    the worker makes available to fillers, both in thousandths of a core.
     """
 
     worker: WorkerState
@@ -68,7 +73,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Candidate:
-    """A task that may change places, and what its worker gains without it."""
+    """
+    A task that may be moved.
+
+    ``gain_millis`` is the additional CPU that its worker would offer to fillers
+    without it.
+    """
 
     place: Place
     run: Run
@@ -76,13 +86,13 @@
 
     @property
     def kind(self) -> Kind:
-        """Return its job and image."""
+        """Return the task's job id and image."""
         return (self.run.key.job_id, self.run.step.image)
 
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """Two tasks that change places; ``gain_millis`` is what that opens."""
+    """Two tasks that swap workers; ``gain_millis`` is the CPU gained for fillers."""
 
     left: Candidate
     right: Candidate
@@ -91,7 +101,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Relocation:
-    """A task that moves to free room; ``gain_millis`` is what that opens."""
+    """A task moved to free room; ``gain_millis`` is the CPU gained for fillers."""
 
     moving: Candidate
     target: Place
@@ -100,7 +110,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reservation:
-    """Room for one task on the worker that it moves to, until a deadline."""
+    """Resources reserved until a deadline on the worker that a task moves to."""
 
     worker_id: str
     charge: Resources
@@ -108,24 +118,24 @@
 
 
 class Separator:
-    """The moves of serving tasks in one cell that are under way."""
+    """Moves serving tasks of one cell and keeps room reserved for those on the way."""
 
     def __init__(self, cell: "Scheduler") -> None:
-        """Start with none."""
+        """Start without any reservation."""
         self.cell = cell
-        self._looked_at_s = float("-inf")
+        self._scanned_at_s = float("-inf")
         self._reserved: dict[TaskKey, Reservation] = {}
         self._random = Random(0)
 
-    def reserved(self, key: TaskKey) -> WorkerState | None:
-        """Return the worker where room is reserved for a task."""
+    def reserved_worker(self, key: TaskKey) -> WorkerState | None:
+        """Return the worker where room is reserved for a task, or None."""
         reservation = self._reserved.get(key)
         if reservation is None:
             return None
         return self.cell.workers.get(reservation.worker_id)
 
-    def settle(self, key: TaskKey) -> None:
-        """Give up a reservation: the task has started, or will not."""
+    def release(self, key: TaskKey) -> None:
+        """Release a task's reservation once it starts or can no longer use it."""
         reservation = self._reserved.pop(key, None)
         if reservation is None:
             return
@@ -134,13 +144,13 @@
             worker.let_go(reservation.charge)
 
     def separate(self, now_s: float) -> None:
-        """Begin the moves that open most to the fillers that wait."""
+        """Begin the moves that make the most CPU available to waiting fillers."""
         for key, reservation in list(self._reserved.items()):
             if now_s >= reservation.until_s:
-                self.settle(key)
-        if now_s < self._looked_at_s + LOOK_EVERY_S:
+                self.release(key)
+        if now_s < self._scanned_at_s + SCAN_INTERVAL_S:
             return
-        self._looked_at_s = now_s
+        self._scanned_at_s = now_s
         budget = self._budget()
         if budget < 1 or self._room_is_short(now_s):
             return
@@ -163,19 +173,19 @@
         serving = sum(
             sum(worker.serving.values()) for worker in self.cell.workers.values()
         )
-        return max(2, int(AWAY_RATIO * serving)) - len(self._reserved)
+        return max(2, int(MOVING_RATIO_MAX * serving)) - len(self._reserved)
 
     def _room_is_short(self, now_s: float) -> bool:
         """
-        Tell whether a lasting task waits that some worker could run.
+        Return whether a long-running task lacks room although some worker suits it.
 
-        Guards against tasks that stay away for 10 s beside room that is free: each task
-        that changes places keeps room on two workers for about a second, and where the
-        lasting tasks fill the cell, that is the room that the others wait for.
+        No moves begin then. Each moving task holds room on two workers for about a
+        second. In a cell full of long-running tasks, this is the room that others wait
+        for, and they would be stopped for 10 s although there is free room.
         """
         workers = [w for w in self.cell.workers.values() if w.usable(now_s)]
         return any(
-            _waits_s(step, now_s) > SHORT_AFTER_S
+            _longest_wait_s(step, now_s) > ROOM_SHORTAGE_WAIT_S
             and any(suits(step.step, worker) for worker in workers)
             for state in self.cell.open_jobs.values()
             if state.job.lasting and not state.status.final
@@ -184,7 +194,7 @@
         )
 
     def _begin(self, move: Relocation | Exchange, now_s: float) -> int:
-        """Begin a move; return how many tasks are away for it."""
+        """Begin a move and return the number of tasks that it stops."""
         match move:
             case Relocation(moving, target):
                 self._move(moving.run, target.worker, now_s)
@@ -195,7 +205,7 @@
                 return 2
 
     def _move(self, run: Run, target: WorkerState, now_s: float) -> None:
-        until_s = now_s + RESERVED_S
+        until_s = now_s + RESERVATION_TIMEOUT_S
         reservation = Reservation(target.worker_id, run.charge, until_s)
         self._reserved[run.key] = reservation
         target.hold(run.charge)
@@ -207,12 +217,14 @@
             for worker in self.cell.workers.values()
             if worker.usable(now_s) and worker.held == NOTHING
         ]
-        return [_place_of(w, outlook) for w in self._draw(workers, PLACES_MAX)]
+        return [
+            _place_of(w, outlook) for w in self._sample(workers, SAMPLED_WORKERS_MAX)
+        ]
 
     def _candidates(
         self, places: list[Place], outlook: Outlook, now_s: float
     ) -> list[Candidate]:
-        """Return the tasks that may move, those that close most of a worker first."""
+        """Return the tasks that may be moved, those with the largest gain first."""
         found = [
             candidate
             for place in places
@@ -230,42 +242,46 @@
             if kind in seen or not self._may_move(run, now_s):
                 continue
             seen.add(kind)
-            without = _value(place, outlook, leaving=run)
+            without = _value_after(place, outlook, leaving=run)
             yield Candidate(place, run, without - place.value_millis)
 
     def _may_move(self, run: Run, now_s: float) -> bool:
         step = run.step
         if not step.tail_target_s or run.phase is not RunPhase.RUNNING:
             return False
-        # The operator bounds how many of some tasks may be away through us, and others
-        # may only run in a few places.
+        # The operator limits how many tasks of some steps the scheduler may make
+        # unavailable, and some tasks can run on few workers only.
         if step.unavailable_max or step.gang or step.worker_label or step.data_rack:
             return False
         state = self.cell.jobs.get(run.key.job_id)
         if state is None or self.cell.advised(state.job):
             return False
-        return now_s - run.confirmed_at_s > UNDISTURBED_S
+        return now_s - run.confirmed_at_s > MOVE_COOLDOWN_S
 
     def _moves(
         self, candidates: list[Candidate], places: list[Place], outlook: Outlook
     ) -> list[Relocation | Exchange]:
-        """Return moves that open enough, those that open most for each task first."""
+        """Return worthwhile moves, those with the largest gain per task first."""
         found: list[tuple[float, Relocation | Exchange]] = []
-        for left in candidates[:LEAVING_MAX]:
-            for target in self._draw(places, PARTNERS_MAX):
+        for left in candidates[:CANDIDATES_MAX]:
+            for target in self._sample(places, PARTNERS_PER_CANDIDATE_MAX):
                 relocation = _relocation(left, target, outlook)
                 if relocation is not None:
                     found.append((relocation.gain_millis, relocation))
-            for right in self._draw(candidates, PARTNERS_MAX):
+            for right in self._sample(candidates, PARTNERS_PER_CANDIDATE_MAX):
                 exchange = _exchange(left, right, outlook)
                 if exchange is not None:
                     found.append((exchange.gain_millis / 2, exchange))
         found.sort(key=lambda item: item[0], reverse=True)
         return [move for _, move in found]
 
-    def _draw(self, items: list[T], most: int) -> list[T]:
-        """Return some of the items: who compares all takes too long in a large cell."""
-        return items if len(items) <= most else self._random.sample(items, most)
+    def _sample(self, items: list[T], limit: int) -> list[T]:
+        """
+        Return a random sample of at most ``limit`` items.
+
+        Comparing all of them would take too long in a large cell.
+        """
+        return items if len(items) <= limit else self._random.sample(items, limit)
 
 
 def _place_of(worker: WorkerState, outlook: Outlook) -> Place:
@@ -275,13 +291,13 @@
     return Place(worker, tuple(kinds), reserved_millis, value)
 
 
-def _value(
+def _value_after(
     place: Place,
     outlook: Outlook,
     leaving: Run | None = None,
     coming: Run | None = None,
 ) -> float:
-    """Return what a worker would open without one task, with another."""
+    """Return a worker's value for fillers with one task removed and another added."""
     kinds = list(place.kinds)
     reserved_millis = place.reserved_millis
     if leaving is not None:
@@ -305,10 +321,10 @@
 def _relocation(
     moving: Candidate, target: Place, outlook: Outlook
 ) -> Relocation | None:
-    """Return the move of a task to free room, if it fits and opens enough."""
+    """Return the relocation of a task if it fits and gains enough, or None."""
     if target is moving.place or not _fits(moving, target, NOTHING):
         return None
-    loss_millis = target.value_millis - _value(target, outlook, coming=moving.run)
+    loss_millis = target.value_millis - _value_after(target, outlook, coming=moving.run)
     gain_millis = moving.gain_millis - loss_millis
     if gain_millis < GAIN_MILLIS_MIN:
         return None
@@ -316,15 +332,15 @@
 
 
 def _exchange(left: Candidate, right: Candidate, outlook: Outlook) -> Exchange | None:
-    """Return the exchange of two tasks, if both fit and it opens enough."""
+    """Return the exchange of two tasks if both fit and it gains enough, or None."""
     if left.place is right.place or left.kind == right.kind:
         return None
     if not _fits(left, right.place, right.run.charge):
         return None
     if not _fits(right, left.place, left.run.charge):
         return None
-    value = _value(left.place, outlook, left.run, right.run)
-    value += _value(right.place, outlook, right.run, left.run)
+    value = _value_after(left.place, outlook, left.run, right.run)
+    value += _value_after(right.place, outlook, right.run, left.run)
     gain = value - left.place.value_millis - right.place.value_millis
     if gain < 2 * GAIN_MILLIS_MIN:
         return None
@@ -332,18 +348,18 @@
 
 
 def _fits(moving: Candidate, target: Place, freed: Resources) -> bool:
-    """Tell whether a worker may take a task once so much room is freed there."""
+    """Return whether a worker can take a task after ``freed`` is released there."""
     worker = target.worker
     if worker.listing.service != moving.place.worker.listing.service:
         return False
     if not moving.run.charge.fits_in(worker.free() + freed):
         return False
-    most = moving.run.step.per_worker_max
-    return not most or step_count(worker, moving.run.key) < most
+    limit = moving.run.step.per_worker_max
+    return not limit or count_step_tasks(worker, moving.run.key) < limit
 
 
-def _waits_s(step: StepState, now_s: float) -> float:
-    """Return how long the task of a step has waited that has waited longest."""
+def _longest_wait_s(step: StepState, now_s: float) -> float:
+    """Return the longest wait among the waiting tasks of a step; 0 for fillers."""
     if step.step.filler or step.ready_at_s is None:
         return 0.0
     ready_at_s = step.ready_at_s
@@ -351,6 +367,6 @@
     return now_s - min(since_s, default=now_s)
 
 
-def step_count(worker: WorkerState, key: TaskKey) -> int:
-    """Count the tasks on a worker that are of the same step as this one."""
+def count_step_tasks(worker: WorkerState, key: TaskKey) -> int:
+    """Return the number of tasks on a worker that belong to the same step as a task."""
     return sum(other[:3] == key[:3] for other in worker.runs)
--- a/packages/hornbeampaddle/hornbeampaddle/cell/slow_starts.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/slow_starts.py
@@ -1,14 +1,14 @@
 """
-Start fillers that find no worker to themselves, at a pace that harms nobody.
+Start fillers at a reduced pace when no worker can run them at full speed.
 
-A filler waits for a worker where it disturbs nobody and finds spare processors. Where
-there is none, one task of its job begins slowly, so that no job waits for ever beside
-room that is shown as free.
+A filler (best-effort task) waits for a worker where it interferes with no serving task
+and finds spare CPU. If there is none, one task of its job starts at a pace low enough
+not to interfere, so that no job waits forever while the cell reports free capacity.
 """
 
 from typing import TYPE_CHECKING
 
-from .placing import choose_slow, has_spare, may_take
+from .placing import can_place, choose_for_slow_start, has_spare_cpu
 from .progress import JobState, Run, StepState
 from .turns import Turn
 from .urgency import AWAY_MAX_S
@@ -16,37 +16,42 @@
 if TYPE_CHECKING:
     from .scheduler import Scheduler
 
-# A filler that lasts waits so long for a worker where it disturbs nobody before it
-# starts at a lower pace. One that ends waits on: started so, it would keep its place
-# for several times as long, and those that come next would find it taken.
+# How long a long-running filler waits for a worker where it does not interfere before
+# it starts at a reduced pace. Finite fillers keep waiting: at a reduced pace they would
+# occupy a worker several times as long and block those that come next.
 SLOW_AFTER_S = 6.0
-# Slower than this share of its speed, a filler would only hold memory.
+# Minimum share of its full speed at which a filler is started. Below this, it would do
+# little more than hold memory.
 SLOW_SHARE_MIN = 0.25
-# While less than this share of a service's processors is reserved, no job is left
-# with nothing at work for longer than this: callers count on it from half on.
-IDLE_CELL_RATIO = 0.6
+# While less than LOW_USE_RATIO_MAX of a service's CPU is reserved, no job may have
+# nothing running for longer than IDLE_JOB_AFTER_S. Callers rely on this when half or
+# less is reserved.
+LOW_USE_RATIO_MAX = 0.6
 IDLE_JOB_AFTER_S = 1.2
 FIRST_PACE_MIN_PERCENT = 3
-# While callers hand in jobs more often than this, a late one is not started beside
-# fillers that use all processors: newer ones can still be on time. Under load, jobs
-# come several times a second.
+# Minimum time since the last finite job was accepted before a late job may share fully
+# used CPU with other fillers. Newer jobs can still be on time, and the late one would
+# slow them down. Under load, jobs arrive several times a second.
 QUIET_S = 3.0
-# ... but it does not wait longer than this for them: several times the objective of
-# any job, and seldom reached before the load that made it late has passed.
+# Maximum time that a finite job waits for such a quiet period. This is several times
+# the objective of any job, and the load that made the job late has usually passed by
+# then.
 STARVED_AFTER_S = 30.0
 
 
-def its_time(cell: "Scheduler", state: JobState, step: StepState, now_s: float) -> bool:
+def may_share_processors(
+    cell: "Scheduler", state: JobState, step: StepState, now_s: float
+) -> bool:
     """
-    Tell whether a job starts beside fillers that use all processors.
+    Return whether a job may start alongside fillers that use all CPU.
 
-    Guards against a late job that gives way for ever: with a new job every few
-    seconds there is no quiet span, and callers would wait for hours.
+    The wait for a quiet period is bounded. With a new job every few seconds, no quiet
+    period occurs, and callers of a late job would wait for hours.
     """
     waited_s = now_s - (step.ready_at_s or now_s)
     quiet = cell.quiet_s(step.key.job_id, now_s) >= QUIET_S
-    patience_s = AWAY_MAX_S if step.step.lasting else STARVED_AFTER_S
-    if not quiet and waited_s < patience_s:
+    wait_max_s = AWAY_MAX_S if step.step.lasting else STARVED_AFTER_S
+    if not quiet and waited_s < wait_max_s:
         return False
     return left_idle(cell, state, step, now_s)
 
@@ -55,29 +60,29 @@
     cell: "Scheduler", state: JobState, step: StepState, now_s: float
 ) -> bool:
     """
-    Tell whether a job has nothing at work though its service is mostly free.
+    Return whether a job has nothing running although its service is lightly used.
 
-    Guards against a filling job that waits for ever, with room shown as free: every
-    worker serves an image that it disturbs, or other fillers, which reserve no
-    processors, use them all. One task of it starts at a low pace then; of a job that
-    lasts each, for each serves users of its own.
+    A job of fillers could otherwise wait forever despite free capacity, because it
+    would interfere on every worker or because other fillers, which reserve no CPU, use
+    all of it. In this state, a finite job starts one task at a reduced pace. A
+    long-running job starts all of them, as each task serves its own users.
     """
     if now_s - (step.ready_at_s or now_s) < IDLE_JOB_AFTER_S:
         return False
     use_ratio = cell.use_ratio(cell.service_of(state.job))
     served = bool(state.runs()) and not step.step.lasting
-    return not served and use_ratio < IDLE_CELL_RATIO
+    return not served and use_ratio < LOW_USE_RATIO_MAX
 
 
 def waits_enough(step: StepState, now_s: float) -> bool:
-    """Tell whether a filler has waited long enough to start at a lower pace."""
+    """Return whether a filler has waited long enough to start at a reduced pace."""
     if not step.step.lasting:
         return False
     return now_s - (step.ready_at_s or now_s) >= SLOW_AFTER_S
 
 
 def place_slow(turn: Turn) -> None:
-    """Place one filler that found no worker to itself, at a pace that harms nobody."""
+    """Start one waiting filler of a step at a pace that does not interfere."""
     step, model = turn.step, turn.cell.model
     waiting = step.waiting()
     if not waiting:
@@ -90,25 +95,25 @@
         share_min = SLOW_SHARE_MIN
     used = step.used()
     key = waiting[0].key
-    # Guards against more tasks of a step on one worker than it allows, and against a
-    # second run of a task beside a stray one: no ranking has sorted these workers out.
-    candidates = [w for w in turn.workers if may_take(step.step, w, key, used)]
-    place = choose_slow(step.step, candidates, model, share_min)
+    # These workers have not been filtered by a ranking: exclude those that have reached
+    # the step's limit of tasks per worker or already have a stray run of the task.
+    candidates = [w for w in turn.workers if can_place(step.step, w, key, used)]
+    place = choose_for_slow_start(step.step, candidates, model, share_min)
     if place is None:
         return
     worker, share = place
-    crowded = idle and not has_spare(step.step, worker)
+    crowded = idle and not has_spare_cpu(step.step, worker)
     run = turn.start(waiting[0], worker)
-    begin_slowly(run, share, crowded)
+    set_first_pace(run, share, crowded)
 
 
-def begin_slowly(run: Run, share: float, crowded: bool) -> None:
+def set_first_pace(run: Run, share: float, crowded: bool) -> None:
     """
-    Let a filler begin at the share of its speed at which it disturbs nobody.
+    Set a filler's initial pace to the share of its speed that does not interfere.
 
-    Guards against a queue of late jobs that slows those that can be on time: where
-    others use all processors it begins at the lowest pace, and the pacer lets it work
-    faster once there are some to spare.
+    If ``crowded``, other fillers use all CPU, and the filler begins at the minimum
+    pace, so that a queue of late jobs does not slow down jobs that can still be on
+    time. The pacer speeds it up once there is spare CPU.
     """
     percent = 0 if crowded else round(100 * share)
     run.first_pace_percent = max(FIRST_PACE_MIN_PERCENT, percent)
--- a/packages/hornbeampaddle/hornbeampaddle/cell/turns.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/turns.py
@@ -5,10 +5,10 @@
 
 from .candidates import Candidates
 from .effects import Decision
-from .misfits import Misfits
 from .placing import Ranking
 from .progress import JobState, Run, StepState, Task
 from .starting import start_task
+from .unplaceable import UnplaceableSteps
 from .workers import WorkerState
 
 if TYPE_CHECKING:
@@ -27,7 +27,7 @@
     cell: "Scheduler"
     decision: Decision
     candidates: Candidates
-    misfits: Misfits
+    unplaceable: UnplaceableSteps
     state: JobState
     step: StepState
     workers: list[WorkerState]
--- a/packages/hornbeampaddle/hornbeampaddle/cell/misfits.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/unplaceable.py
@@ -1,4 +1,4 @@
-"""Remember which kinds of steps found no worker in a decision."""
+"""Record which steps found no worker in a decision."""
 
 from dataclasses import dataclass, field
 
@@ -7,23 +7,24 @@
 
 
 @dataclass(slots=True)
-class Misfits:
+class UnplaceableSteps:
     """
-    What found no worker in this decision, by service and image.
+    The smallest needs that found no worker in a decision.
 
-    When the queue is long, most steps ask for as much as one that was just looked
-    for in vain. Without this, each of hundreds of them looks at every worker.
+    They are kept by service, worker label and, for fillers, image. With a long queue,
+    most steps need as much as one that has just found no worker. Without this record,
+    hundreds of steps would each examine every worker.
     """
 
     _needs: dict[tuple[str, str, str], Resources] = field(default_factory=dict)
 
     def covers(self, service: str, step: Step) -> bool:
-        """Tell whether a step that asks for no more has found no worker."""
+        """Return whether a step with no larger needs has found no worker."""
         need = self._needs.get(_kind(service, step))
         return need is not None and need.fits_in(step.need)
 
     def add(self, service: str, step: Step) -> None:
-        """Note a step that found no worker; the smallest need counts."""
+        """Record a step that found no worker; the smallest need is kept."""
         if step.per_worker_max or step.gang:
             return
         need = self._needs.get(_kind(service, step))
@@ -32,5 +33,5 @@
 
 
 def _kind(service: str, step: Step) -> tuple[str, str, str]:
-    # Only fillers are placed by their image.
+    # The image matters only for the placement of fillers.
     return (service, step.worker_label, step.image if step.filler else "")
--- a/packages/hornbeampaddle/hornbeampaddle/cell/waiting.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/waiting.py
@@ -11,7 +11,7 @@
 from typing import TYPE_CHECKING
 
 from .effects import Note
-from .placing import has_spare, suits
+from .placing import has_spare_cpu, suits
 from .progress import JobState, StepState
 from .workers import WorkerState
 
@@ -141,7 +141,7 @@
     with_room = [w for w in sight.workers if step.charge.fits_in(w.free())]
     if not with_room or cell.advised(sight.state.job):
         return WaitReason.NO_ROOM
-    if any(has_spare(step, worker) for worker in with_room):
+    if any(has_spare_cpu(step, worker) for worker in with_room):
         return WaitReason.DISTURBS
     return WaitReason.NO_SPARE
 
