--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -143,7 +143,7 @@
     key = TaskKey("watch", 0, 0, 0)
     charge = Resources(4_000, GIB, 0)
     worker = player.cell.workers["w0"]
-    worker.hold(charge)
+    worker.reserve_room(charge)
     reservation = separating.Reservation("w0", charge, player.now_s + 2.0)
     player.cell.separator._reserved[key] = reservation
     player.tick()
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -22,7 +22,7 @@
     context.cell.worker_silent(WORKER_ID, context.player.now_s)
     context.worker = context.cell.workers[WORKER_ID]
     context.over_at_s = context.worker.lease_over_at_s
-    context.granted_s = context.worker.granted_s
+    context.granted_deadline_s = context.worker.granted_deadline_s
 
 
 def decide(context, cell):
@@ -52,8 +52,11 @@
 
 @then("its lease is not extended")
 def not_extended(context):
-    granted_s = context.cell.lease_deadline(WORKER_ID, context.player.now_s)
-    assert granted_s == context.granted_s, (granted_s, context.granted_s)
+    granted_deadline_s = context.cell.lease_deadline(WORKER_ID, context.player.now_s)
+    assert granted_deadline_s == context.granted_deadline_s, (
+        granted_deadline_s,
+        context.granted_deadline_s,
+    )
     assert context.worker.lease_over_at_s == context.over_at_s
 
 
@@ -62,8 +65,8 @@
     assert decide(context, context.cell).lapses == {}
     not_extended(context)
     context.cell.lapses.stored(context.player.now_s)
-    granted_s = context.cell.lease_deadline(WORKER_ID, context.player.now_s)
-    assert granted_s > context.granted_s + 1.0, granted_s
+    granted_deadline_s = context.cell.lease_deadline(WORKER_ID, context.player.now_s)
+    assert granted_deadline_s > context.granted_deadline_s + 1.0, granted_deadline_s
     assert context.worker.lease_over_at_s > context.over_at_s + 1.0
 
 
--- a/features/support/cell_player.py
+++ b/features/support/cell_player.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field, replace
 
 from hornbeampaddle.cell.advice import Allowance
-from hornbeampaddle.cell.effects import Note
+from hornbeampaddle.cell.effects import LogEntry
 from hornbeampaddle.cell.jobs import Job, Queue, Step
 from hornbeampaddle.cell.progress import JobStatus, Run, RunPhase
 from hornbeampaddle.cell.reports import Done, EndedRow, EndKind, Report, RunningRow
@@ -32,14 +32,14 @@
     ends: dict[str, list[EndedRow]] = field(default_factory=dict)
     stops: list[tuple[float, Run]] = field(default_factory=list)
     finished_s: dict[str, float] = field(default_factory=dict)
-    notes: list[tuple[float, Note]] = field(default_factory=list)
+    notes: list[tuple[float, LogEntry]] = field(default_factory=list)
     # The workers that the service of advice allows; without it, it does not answer.
     allowed: set[str] | None = None
     # How often a worker was replaced.
     lives: int = 0
 
     def __post_init__(self):
-        self.cell.note = lambda note: self.notes.append((self.now_s, note))
+        self.cell.log = lambda log: self.notes.append((self.now_s, log))
 
     def add_workers(self, count, cpu_millis):
         for number in range(count):
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/holder.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/holder.py
@@ -15,7 +15,7 @@
 import structlog
 
 from hornbeampaddle.cell.advice import Allowance
-from hornbeampaddle.cell.effects import AdviceQuestion, Decision, Note
+from hornbeampaddle.cell.effects import AdviceQuestion, Decision, LogEntry
 from hornbeampaddle.cell.progress import RunPhase
 from hornbeampaddle.cell.reports import Report
 from hornbeampaddle.cell.scheduler import Scheduler
@@ -109,7 +109,7 @@
         self.evacuations_complete_at_s: Callable[[], float] = lambda: float("inf")
         self._may_start = True
 
-    def _log_note(self, note: Note) -> None:
+    def _log_note(self, note: LogEntry) -> None:
         self.metrics.noted(note)
         log.info(note.event, job=note.job_id, epoch=self.epoch, **note.detail)
 
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/metrics.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/metrics.py
@@ -19,7 +19,7 @@
     generate_latest,
 )
 
-from hornbeampaddle.cell.effects import Note
+from hornbeampaddle.cell.effects import LogEntry
 from hornbeampaddle.cell.progress import Run
 from hornbeampaddle.cell.reports import HoldOutcome, OrderOutcome, Refused
 from hornbeampaddle.cell.summary import Summary
@@ -135,7 +135,7 @@
         self.requests.labels(call, outcome).inc()
         self.request_seconds.labels(call).observe(took_s)
 
-    def noted(self, note: Note) -> None:
+    def noted(self, note: LogEntry) -> None:
         """Count a decision of the holder."""
         detail = note.detail
         reason = next((str(detail[k]) for k in REASON_FIELDS if k in detail), "")
@@ -173,7 +173,7 @@
             self.loop_lag_seconds.observe(self.loop_lag_s)
 
 
-# The fields of a note that say why, the first that is there.
+# The fields of a log entry that say why, the first that is there.
 REASON_FIELDS = ("why", "reason", "how", "status")
 
 
--- a/packages/hornbeampaddle/hornbeampaddle/cell/candidates.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/candidates.py
@@ -120,7 +120,7 @@
     def _filler_headroom(self, worker: WorkerState, image: str) -> FillerHeadroom:
         undisturbed_millis = 0.0
         if worker.over_since_s is None:
-            room = worker.filler_room(image, self._model)
+            room = worker.filler_headroom(image, self._model)
             undisturbed_millis = room.share * worker.listing.capacity.cpu_millis
         # Where no filler runs yet, one may use whatever the other tasks leave.
         spare_millis = math.inf
--- a/packages/hornbeampaddle/hornbeampaddle/cell/dispatch.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/dispatch.py
@@ -5,7 +5,7 @@
 
 from .advice import tickets
 from .candidates import Candidates
-from .crashes import choose_apart, suspected
+from .crashes import choose_isolated_worker, suspected
 from .effects import Decision
 from .gangs import align_members, choose_workers
 from .placing import Ranking, allowed_share, can_place, has_spare_cpu, suits
@@ -167,7 +167,7 @@
         if can_place(step, worker, task.key, ranking.used)
         and (not step.filler or has_spare_cpu(step, worker))
     ]
-    worker = choose_apart(fitting, task, turn.now_s)
+    worker = choose_isolated_worker(fitting, task, turn.now_s)
     if worker is None:
         return False
     turn.start(task, worker)
@@ -206,7 +206,7 @@
     Return whether the task was started. It is not while the room is still taken.
     """
     separator = turn.cell.separator
-    if destination.trial is not None:
+    if destination.isolated_run is not None:
         return False
     if (
         not destination.usable(turn.now_s)
--- a/packages/hornbeampaddle/hornbeampaddle/cell/effects.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/effects.py
@@ -1,4 +1,4 @@
-"""Define what the scheduler wants done, in the order in which it must happen."""
+"""Define the effects of a scheduling decision: records, orders and log entries."""
 
 from dataclasses import dataclass, field
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopOrder:
-    """Tell a worker to end an attempt."""
+    """An order to a worker to stop an attempt."""
 
     run: Run
     worker_id: str
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PaceOrder:
-    """Tell a worker to let a filler work at a share of its speed."""
+    """An order to a worker to run a filler at ``percent`` of its full speed."""
 
     run: Run
     worker_id: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AdviceQuestion:
-    """Ask which of these workers may run a step."""
+    """A question to the advice service: which of these workers may run a step."""
 
     step: StepKey
     worker_ids: tuple[str, ...]
@@ -35,12 +35,12 @@
 @dataclass(slots=True)
 class Decision:
     """
-    The outcome of one look at the cell.
+    The outcome of one scheduling pass over the cell.
 
-    ``records`` are stored first, in one append; ``starts`` are sent only after
-    that has been acknowledged. Stops, paces and questions need no record.
-    ``lapses``, if given, is stored with the records: the seconds left of the lease of
-    each silent worker.
+    The effects must happen in this order: ``records`` are stored first, in one append;
+    ``starts`` are sent only after that append has been acknowledged. Stops, paces and
+    questions need no record. ``lapses``, if given, is stored with the records: the
+    seconds left of the lease of each silent worker.
     """
 
     records: dict[str, bytes | None] = field(default_factory=dict)
@@ -52,8 +52,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Note:
-    """One change of belief, for the log: what, about which request, and why."""
+class LogEntry:
+    """An entry for the log: the event, the job if any, and the details."""
 
     event: str
     job_id: str
--- a/packages/hornbeampaddle/hornbeampaddle/cell/intake.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/intake.py
@@ -1,16 +1,16 @@
 """
-Take in what workers report: what runs, what ended, what is missing.
+Process the workers' reports: running, ended and missing attempts.
 
-A report is everything that one worker has. Ends count once, by the number of
-their run; a run that the cell does not know is stopped; a run that the worker
-does not know is given up.
+A report is the complete state of one worker. An end counts once, by the number of
+its run. A run that the cell does not know is stopped; a run that the worker does not
+know is released.
 """
 
 from typing import TYPE_CHECKING
 
 from ..resources import NOTHING
 from . import crashes
-from .effects import Note, StopOrder
+from .effects import LogEntry, StopOrder
 from .jobs import Step, TaskKey
 from .progress import JobState, JobStatus, Run, RunPhase, Task
 from .reports import EndedRow, EndKind, Report, RunningRow
@@ -19,19 +19,20 @@
 if TYPE_CHECKING:
     from .scheduler import Scheduler
 
-# A run that is still reported so long after it should have stopped is told again.
-STOP_REPEAT_S = 0.4
+# A run that is still reported this long after its stop should have taken effect is
+# sent another stop.
+STOP_RESEND_AFTER_S = 0.4
 
 
-class Intake:
-    """The part of a cell's scheduler that reads reports."""
+class ReportIntake:
+    """The part of a cell's scheduler that processes reports."""
 
     def __init__(self, cell: "Scheduler") -> None:
-        """Change the state of ``cell``."""
+        """Create the processor of reports that updates the state of ``cell``."""
         self.cell = cell
 
     def report(self, worker_id: str, report: Report) -> None:
-        """Take in everything that one worker says it has."""
+        """Process one worker's report; ignored if the worker is unknown."""
         worker = self.cell.workers.get(worker_id)
         if worker is None:
             return
@@ -46,28 +47,28 @@
         for ended in report.ended:
             listed.add(ended.key)
             if ended.position > worker.seen_end:
-                self._take_end(worker, ended, now_s)
+                self._handle_end(worker, ended, now_s)
         if report.ended:
             worker.seen_end = max(worker.seen_end, report.ended[-1].position)
         for row in report.running:
             listed.add(row.key)
-            self._take_running(worker, row, now_s)
-        self._find_missing(worker, report, listed)
+            self._handle_running(worker, row, now_s)
+        self._release_missing(worker, report, listed)
         if first:
             detail: dict[str, object] = {
                 "worker": worker_id,
                 "running": len(report.running),
             }
-            self.cell.note(Note("worker_reported", "", detail))
+            self.cell.log(LogEntry("worker_reported", "", detail))
         self.cell.pacer.observe(worker, now_s)
 
-    def _take_end(self, worker: WorkerState, row: EndedRow, now_s: float) -> None:
-        self._give_room_back(worker, row)
+    def _handle_end(self, worker: WorkerState, row: EndedRow, now_s: float) -> None:
+        self._release_room(worker, row)
         state = self.cell.jobs.get(row.key.job_id)
         task = state.task(row.key) if state is not None else None
         if state is None or task is None:
             return
-        crashes.survived(self.cell, task, row.number)
+        crashes.forget_crash(self.cell, task, row.number)
         run = task.run
         ours = (
             run is not None
@@ -89,18 +90,18 @@
             "how": row.how.value,
             "asked": run.stop_reason,
         }
-        self.cell.note(Note("run_ended", row.key.job_id, detail))
+        self.cell.log(LogEntry("run_ended", row.key.job_id, detail))
         task.run = None
         task.ended_at_s = now_s
         task.last_worker_id = worker.worker_id
         if row.checkpoint:
             task.checkpoint = row.checkpoint
         if row.how is EndKind.FAILED:
-            worker.note_end(False)
-            self._maybe_rest(worker, now_s)
+            worker.record_end(False)
+            self._rest_if_failing(worker, now_s)
 
-    def _give_room_back(self, worker: WorkerState, row: EndedRow) -> None:
-        # Also for jobs that the cell has forgotten: their room would stay taken.
+    def _release_room(self, worker: WorkerState, row: EndedRow) -> None:
+        # Also for jobs that the cell has forgotten: their room would stay reserved.
         stray = worker.strays.get((row.key, row.number))
         if stray is not None:
             worker.remove(stray)
@@ -116,7 +117,7 @@
         worker: WorkerState,
         now_s: float,
     ) -> None:
-        worker.note_end(True)
+        worker.record_end(True)
         if task.done:
             return
         detail: dict[str, object] = {
@@ -124,7 +125,7 @@
             "run": task.last_run,
             "worker": worker.worker_id,
         }
-        self.cell.note(Note("run_done", task.key.job_id, detail))
+        self.cell.log(LogEntry("run_done", task.key.job_id, detail))
         step = state.occurrences[task.key.occurrence][task.key.step]
         if step.step.gang:
             self._gang_done(state, task, now_s)
@@ -134,7 +135,7 @@
         if step.done:
             self.cell.advice.close(step.key)
         if run is not None and run.key in self._runs_on(run.worker_id):
-            # An attempt that was given up has ended well after all.
+            # An attempt that had been released has succeeded after all.
             self.cell.stop(run, "already_done")
         if state.all_done() and not state.status.final:
             self.cell.finish(state, JobStatus.COMPLETED, now_s, "all_done")
@@ -144,7 +145,7 @@
         return worker.runs if worker is not None else {}
 
     def _gang_done(self, state: JobState, task: Task, now_s: float) -> None:
-        # The members of a gang end well together: one end stands for all.
+        # The tasks of a gang succeed together: the end of one stands for all.
         steps = state.occurrences[task.key.occurrence]
         for member in steps[task.key.step].tasks:
             member.done = True
@@ -161,15 +162,15 @@
         if step.step.lasting or number in task.failed_runs:
             return
         task.failed_runs.append(number)
-        used = step.failures(task) >= state.job.queue.attempts_max
-        if used and not state.status.final:
+        exhausted = step.failures(task) >= state.job.queue.attempts_max
+        if exhausted and not state.status.final:
             self.cell.finish(state, JobStatus.FAILED, now_s, "attempts_used")
 
-    def _maybe_rest(self, worker: WorkerState, now_s: float) -> None:
-        many = len(worker.recent_ends) >= 4 and sum(worker.recent_ends) * 2 <= len(
+    def _rest_if_failing(self, worker: WorkerState, now_s: float) -> None:
+        unhealthy = len(worker.recent_ends) >= 4 and sum(worker.recent_ends) * 2 <= len(
             worker.recent_ends
         )
-        if worker.failures_in_row >= self.cell.settings.failures_in_row or many:
+        if worker.failures_in_row >= self.cell.settings.failures_in_row or unhealthy:
             worker.rest_until_s = now_s + self.cell.settings.rest_s
             worker.recent_ends.clear()
             worker.failures_in_row = self.cell.settings.failures_in_row - 1
@@ -177,9 +178,11 @@
                 "worker": worker.worker_id,
                 "until_s": worker.rest_until_s,
             }
-            self.cell.note(Note("worker_rests", "", detail))
+            self.cell.log(LogEntry("worker_rests", "", detail))
 
-    def _take_running(self, worker: WorkerState, row: RunningRow, now_s: float) -> None:
+    def _handle_running(
+        self, worker: WorkerState, row: RunningRow, now_s: float
+    ) -> None:
         run = worker.runs.get(row.key)
         if run is None or run.number != row.number:
             self._stop_stray(worker, row, now_s)
@@ -188,7 +191,7 @@
             run.phase = RunPhase.RUNNING
             run.confirmed_at_s = now_s
             run.progressed_at_s = now_s
-        self._survives(worker, run, now_s)
+        self._record_survival(worker, run, now_s)
         if row.checkpoint:
             run.checkpoint = row.checkpoint
         if row.progress_percent != run.progress_percent:
@@ -201,44 +204,47 @@
         state = self.cell.jobs.get(row.key.job_id)
         if state is None or state.status.final:
             self.cell.stop(run, "job_ended")
-        self._repeat_stop(run, now_s)
-        self._stop_if_stuck(worker, run, now_s)
+        self._resend_stop(run, now_s)
+        self._stop_if_stalled(worker, run, now_s)
 
-    def _survives(self, worker: WorkerState, run: Run, now_s: float) -> None:
+    def _record_survival(self, worker: WorkerState, run: Run, now_s: float) -> None:
         run.reported_at_s = min(run.reported_at_s, now_s)
-        if worker.trial is run:
-            worker.end_trial()
+        if worker.isolated_run is run:
+            worker.end_isolation()
         state = self.cell.jobs.get(run.key.job_id)
         task = state.task(run.key) if state is not None else None
         if task is not None and task.run is run:
-            crashes.forget_if_proven(self.cell, task, run, now_s)
+            crashes.forget_crashes_if_proven(self.cell, task, run, now_s)
 
-    def _repeat_stop(self, run: Run, now_s: float) -> None:
-        # Guards against a stop that was answered and changed nothing. The run would
-        # go on for as long as its lease is renewed; a stop without an answer is sent
-        # again without this.
-        late = now_s - run.stop_sent_at_s > self.cell.settings.stop_s + STOP_REPEAT_S
+    def _resend_stop(self, run: Run, now_s: float) -> None:
+        # Guards against a stop that was answered but had no effect: the run would
+        # continue for as long as its lease is renewed. A stop without an answer is sent
+        # again elsewhere.
+        late = (
+            now_s - run.stop_sent_at_s > self.cell.settings.stop_s + STOP_RESEND_AFTER_S
+        )
         if run.phase is RunPhase.STOPPING and late:
             run.stop_sent_at_s = now_s
             self.cell.stops.append(StopOrder(run, run.worker_id, run.stop_reason))
 
     def _stop_stray(self, worker: WorkerState, row: RunningRow, now_s: float) -> None:
-        # An order of an earlier holder, or one that was carried out late, whose
-        # task has moved on.
+        # The run was started by an earlier holder, or its start was carried out late,
+        # and the task has since been assigned a newer run.
         stray = worker.strays.get((row.key, row.number))
         if stray is None:
             stray = self._book_stray(worker, row, now_s)
         self.cell.stop(stray, "superseded")
-        self._repeat_stop(stray, now_s)
+        self._resend_stop(stray, now_s)
 
     def _book_stray(self, worker: WorkerState, row: RunningRow, now_s: float) -> Run:
-        # Guards against a run that works on for good, in room that is given away: its
-        # lease is renewed with the others', and only booked runs are stopped. Whatever
-        # a report lists is booked, if need be beside another run of its task.
+        # Guards against a run that continues forever in room that is assigned to other
+        # runs: its lease is renewed with the others', and only booked runs are stopped.
+        # Every run in a report is booked, if necessary beside another run of its task.
         step = self._step_of(row.key)
         apart = step is None or row.key in worker.runs
         if step is None:
-            # How much an unknown run takes is unknown: nothing may start beside it.
+            # The resource usage of an unknown run is unknown, so it is charged all the
+            # free capacity: nothing may start beside it.
             left = NOTHING.largest(worker.listing.capacity - worker.taken)
             step = Step(1, left)
         stray = Run(row.key, row.number, worker.worker_id, step, step.charge)
@@ -258,7 +264,7 @@
             return None
         return state.job.steps[key.step]
 
-    def _stop_if_stuck(self, worker: WorkerState, run: Run, now_s: float) -> None:
+    def _stop_if_stalled(self, worker: WorkerState, run: Run, now_s: float) -> None:
         if run.step.lasting or run.step.gang or run.phase is not RunPhase.RUNNING:
             return
         if run.pace_percent < 100:
@@ -266,19 +272,19 @@
         if run.progress_percent >= 99:
             return
         if now_s - run.progressed_at_s > self.cell.settings.stall_s:
-            worker.note_end(False)
-            self._maybe_rest(worker, now_s)
+            worker.record_end(False)
+            self._rest_if_failing(worker, now_s)
             self.cell.stop(run, "no_progress")
 
-    def _find_missing(
+    def _release_missing(
         self, worker: WorkerState, report: Report, listed: set[TaskKey]
     ) -> None:
-        """Release the attempts that the worker neither runs nor lists as ended."""
+        """Release attempts that the report lists neither as running nor as ended."""
         for run in list(worker.runs.values()):
             if run.key in listed:
                 continue
             inherited = run.phase is RunPhase.INHERITED
-            # The report was asked for under this holder's token: an order of an
+            # The report was requested with this holder's fencing token: a start of an
             # earlier holder that has not arrived by now is refused.
             confirmed = run.confirmed_at_s < report.sent_at_s
             if inherited or confirmed:
--- a/packages/hornbeampaddle/hornbeampaddle/cell/jobs.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/jobs.py
@@ -1,7 +1,7 @@
 """
-Describe what a job asks for.
+Define jobs, their steps and the keys of their tasks.
 
-A job is a chain of steps, a step is a number of equal tasks. These types are
+A job is a chain of steps, a step is a number of identical tasks. These types are
 stored as they are, so a field that is added later needs a default.
 """
 
@@ -10,12 +10,13 @@
 
 from ..resources import Resources
 
-# A task without an estimate, or with a tiny one, counts as so long: about a start.
+# Lower bound on a task's estimated duration, also used if it has no estimate: about the
+# time that a start takes.
 ESTIMATE_MIN_S = 0.1
 
 
 class TaskKey(NamedTuple):
-    """Name one task; ``occurrence`` counts the times a job is due, from 0."""
+    """Key of one task; ``occurrence`` numbers the job's repetitions from 0."""
 
     job_id: str
     occurrence: int
@@ -24,7 +25,7 @@
 
 
 class StepKey(NamedTuple):
-    """Name one step of one occurrence of a job."""
+    """Key of one step of one occurrence of a job."""
 
     job_id: str
     occurrence: int
@@ -34,10 +35,10 @@
 @dataclass(frozen=True, slots=True)
 class Step:
     """
-    Equal tasks and where they may run.
+    A number of identical tasks and their placement constraints.
 
-    ``estimate_s`` is the submitter's guess and often far off. Zero, false and
-    empty stand for "not asked for".
+    ``estimate_s`` is the submitter's estimate, which is often far off. Zero, false and
+    empty mean "not requested".
     """
 
     count: int
@@ -60,10 +61,10 @@
     @property
     def charge(self) -> Resources:
         """
-        Return what one task takes from a worker's room.
+        Return the resources that one task occupies on a worker.
 
-        A filler runs on the processor time that the others leave, so only its
-        memory and accelerators are taken.
+        A filler runs on the CPU time that other tasks leave unused, so only its memory
+        and accelerators are charged.
         """
         if not self.filler:
             return self.need
@@ -71,13 +72,13 @@
 
     @property
     def task_millis_s(self) -> float:
-        """Return the estimated work of one task, in thousandths of a core x s."""
+        """Return the estimated work of one task, in thousandths of a core-second."""
         return self.need.cpu_millis * max(ESTIMATE_MIN_S, self.estimate_s)
 
 
 @dataclass(frozen=True, slots=True)
 class Advice:
-    """Bounds of the service that says which workers may run a step."""
+    """Time limits of the advice service, which decides where a step may run."""
 
     decision_s: float
     per_worker_s: float
@@ -85,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Queue:
-    """What the operator's configuration says of a queue of jobs."""
+    """The operator's configuration of a queue of jobs."""
 
     name: str
     service: str
@@ -101,9 +102,9 @@
     """
     A job as it was accepted.
 
-    ``queue`` is the queue's state at that time: it still counts when a later
-    configuration has dropped the queue. ``accepted_at_s`` and ``first_due_s``
-    are Unix times.
+    ``queue`` is the queue's configuration at that time: it still applies when a later
+    configuration has removed the queue. ``accepted_at_s`` and ``first_due_s`` are Unix
+    times.
     """
 
     job_id: str
@@ -117,26 +118,30 @@
 
     @property
     def occurrences(self) -> int:
-        """Return how many times the steps run."""
+        """Return the number of times that the steps run."""
         return max(1, self.repeat_count)
 
     @property
     def lasting(self) -> bool:
-        """Tell whether the job runs until it is cancelled."""
+        """Return whether the job runs until it is cancelled."""
         return any(step.lasting for step in self.steps)
 
     def due_at_s(self, occurrence: int) -> float:
-        """Return the Unix time from which an occurrence may start."""
+        """Return the Unix time from which an occurrence may start, 0 if at once."""
         if not self.repeat_count:
             return 0.0
         return self.first_due_s + occurrence * self.interval_s
 
     def work_millis_s(self) -> float:
-        """Return the estimated work of all tasks of one occurrence."""
+        """
+        Return the estimated work of all tasks of one occurrence.
+
+        It is in thousandths of a core-second.
+        """
         return sum(step.count * step.task_millis_s for step in self.steps)
 
     def chain_s(self) -> float:
-        """Return the estimated length of the longest chain of steps."""
+        """Return the estimated duration of the longest chain of steps, in seconds."""
         ends: list[float] = []
         for step in self.steps:
             begin_s = max((ends[n] for n in step.after), default=0.0)
@@ -144,6 +149,6 @@
         return max(ends, default=0.0)
 
     def objective_s(self) -> float:
-        """Return the time after acceptance in which the job should be done."""
+        """Return the time after acceptance by which the job should be done."""
         stretched_s = self.queue.stretch_ratio * self.chain_s()
         return stretched_s + self.queue.latency_target_s
--- a/packages/hornbeampaddle/hornbeampaddle/cell/lapses.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/lapses.py
@@ -1,10 +1,10 @@
 """
-Say for the next holder when the leases of silent workers are over.
+Record for the next holder when the leases of silent workers expire.
 
-A holder that takes over cannot know since when a worker is silent: without a record,
-its lasting tasks would wait for a whole lease once more, counted from the takeover.
-So a holder stores how long each silent worker's lease may still last, and grants such
-a worker nothing more until a record without it is stored.
+A holder that takes over cannot know since when a worker has been silent: without a
+record, the worker's lasting tasks would wait for another whole lease, counted from the
+takeover. So a holder stores how long each silent worker's lease may still last, and
+does not extend that lease until a record without the worker is stored.
 """
 
 from typing import TYPE_CHECKING
@@ -13,62 +13,63 @@
     from .scheduler import Scheduler
     from .workers import WorkerState
 
-# While workers are silent their record is stored again after so long, for instances
-# that start meanwhile: they count from the time at which they read it.
-STORE_EVERY_S = 2.0
+# Interval at which the record is stored again while workers are silent, for instances
+# that start meanwhile: they count the leases from the time at which they read it.
+RECORD_REFRESH_S = 2.0
 
 
-class Lapses:
-    """The leases of one cell that are running out."""
+class LeaseLapses:
+    """The leases of one cell that are not renewed and run out."""
 
     def __init__(self) -> None:
-        """Start with none."""
-        # Workers of a record that is stored, or may be.
-        self._named: set[str] = set()
-        self._newest: set[str] = set()
+        """Start with no lease running out."""
+        # Workers named in a record that is, or may be, stored.
+        self._recorded_ids: set[str] = set()
+        self._newest_recorded_ids: set[str] = set()
         self._stored_at_s = float("-inf")
-        # What the holder before has stored: when each lease is over, in local time.
-        self._inherited_at_s: dict[str, float] = {}
+        # Local time at which each lease expires, from the previous holder's record.
+        self._inherited_over_at_s: dict[str, float] = {}
 
     def inherit(self, over_at_s: dict[str, float]) -> None:
-        """Take in when leases are over, as the holder before has stored it."""
-        self._inherited_at_s = dict(over_at_s)
-        self._named = set(over_at_s)
-        self._newest = set(over_at_s)
+        """Load the local times at which leases expire from the previous holder."""
+        self._inherited_over_at_s = dict(over_at_s)
+        self._recorded_ids = set(over_at_s)
+        self._newest_recorded_ids = set(over_at_s)
 
     def inherited_over_at_s(self, worker_id: str, bound_s: float) -> float:
-        """Return when an inherited lease is over, ``bound_s`` if nothing says so."""
-        return min(bound_s, self._inherited_at_s.get(worker_id, bound_s))
+        """Return when an inherited lease expires, at most ``bound_s``."""
+        return min(bound_s, self._inherited_over_at_s.get(worker_id, bound_s))
 
     def running_out(self, worker_id: str) -> bool:
         """
-        Tell whether a worker's lease must not be extended now.
+        Return whether a worker's lease must not be extended now.
 
-        Guards against two runs of one task: a worker that is back would be granted a
-        later end than the record names, and the next holder would start its tasks
-        elsewhere while they run. It shows when the holder dies soon after such a grant.
+        Guards against duplicate runs of a task: a worker that answers again would be
+        granted a later deadline than the record states, and the next holder would
+        start its tasks elsewhere while they still run. This happens if the holder dies
+        soon after such a grant.
         """
-        return worker_id in self._named
+        return worker_id in self._recorded_ids
 
     def due(self, cell: "Scheduler", now_s: float) -> dict[str, float] | None:
-        """Return the seconds left of each lease, if that is to be stored now."""
-        workers = [w for w in cell.workers.values() if self._runs_out(w)]
-        names = {worker.worker_id for worker in workers}
-        recent = now_s < self._stored_at_s + STORE_EVERY_S
-        if names == self._newest and (recent or not names):
+        """Return the seconds left of each lease, or None if no record is due."""
+        workers = [w for w in cell.workers.values() if self._is_running_out(w)]
+        worker_ids = {worker.worker_id for worker in workers}
+        recent = now_s < self._stored_at_s + RECORD_REFRESH_S
+        if worker_ids == self._newest_recorded_ids and (recent or not worker_ids):
             return None
-        self._newest = names
-        self._named |= names
+        self._newest_recorded_ids = worker_ids
+        self._recorded_ids |= worker_ids
         return {w.worker_id: max(0.0, w.lease_over_at_s - now_s) for w in workers}
 
-    def _runs_out(self, worker: "WorkerState") -> bool:
+    def _is_running_out(self, worker: "WorkerState") -> bool:
         if not worker.all_runs():
             return False
         return worker.silent or (
-            not worker.reported and worker.worker_id in self._inherited_at_s
+            not worker.reported and worker.worker_id in self._inherited_over_at_s
         )
 
     def stored(self, now_s: float) -> None:
-        """Note that the newest record is stored: only its workers are named now."""
+        """Mark the newest record as stored; it replaces the earlier ones."""
         self._stored_at_s = now_s
-        self._named = set(self._newest)
+        self._recorded_ids = set(self._newest_recorded_ids)
--- a/packages/hornbeampaddle/hornbeampaddle/cell/moving.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/moving.py
@@ -27,9 +27,9 @@
 
 def move_slow_fillers(cell: "Scheduler", now_s: float) -> None:
     """Stop slow fillers that interfere or would run better on another worker."""
-    if now_s < cell.moves_looked_at_s + SCAN_INTERVAL_S:
+    if now_s < cell.moves_checked_at_s + SCAN_INTERVAL_S:
         return
-    cell.moves_looked_at_s = now_s
+    cell.moves_checked_at_s = now_s
     moved = 0
     for run in _slow_runs(cell, now_s):
         if moved >= MOVES_PER_SCAN_MAX:
--- a/packages/hornbeampaddle/hornbeampaddle/cell/orders.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/orders.py
@@ -1,13 +1,14 @@
 """
-Take in what became of orders to workers.
+Process the outcomes of orders sent to workers.
 
-An order without an answer may have been carried out, or may be later. Its room
-stays booked, and the same order is sent again until an answer settles it.
+An order without an answer may have been carried out, or may still be carried out
+later. Its room stays booked, and the same order is sent again until an answer resolves
+the uncertainty.
 """
 
 from typing import TYPE_CHECKING
 
-from .effects import Note, StopOrder
+from .effects import LogEntry, StopOrder
 from .progress import Run, RunPhase
 from .reports import Done, NoAnswer, OrderOutcome, OtherIncarnation, Reason, Refused
 from .workers import WorkerState
@@ -15,26 +16,27 @@
 if TYPE_CHECKING:
     from .scheduler import Scheduler
 
-# Starts without an answer are sent again at once, then after growing pauses.
+# Exponential backoff for resending starts without an answer: the first pause and the
+# longest one.
 RESEND_BASE_S = 0.1
 RESEND_MAX_S = 1.0
 
 
-class Orders:
-    """The part of a cell's scheduler that settles orders."""
+class OrderTracker:
+    """The part of a cell's scheduler that processes the outcomes of orders."""
 
     def __init__(self, cell: "Scheduler") -> None:
-        """Change the state of ``cell``."""
+        """Create the tracker that updates the state of ``cell``."""
         self.cell = cell
 
     def start_answered(
         self, run: Run, outcome: OrderOutcome, now_s: float
     ) -> float | None:
         """
-        Take in what became of a start.
+        Process the outcome of a start.
 
-        Returns the pause in seconds after which the same start is sent again,
-        or nothing if that is not needed.
+        Returns the pause in seconds after which to send the same start again, or None
+        if it need not be sent again.
         """
         worker = self.cell.workers.get(run.worker_id)
         if worker is None or worker.runs.get(run.key) is not run:
@@ -58,8 +60,9 @@
                 return self._start_refused(worker, run, reason, clock_s, now_s)
 
     def _resend_after_s(self, run: Run) -> float | None:
-        # The order may have been carried out, or may be later. Sent again with
-        # the same number it is idempotent, and its answer settles both.
+        # The order may have been carried out, or may still be carried out later.
+        # Resending it with the same run number is idempotent, and the answer resolves
+        # both copies.
         run.unanswered += 1
         if run.phase >= RunPhase.RUNNING:
             return None
@@ -82,11 +85,11 @@
             "reason": reason.value,
             "unanswered": run.unanswered,
         }
-        self.cell.note(Note("start_refused", run.key.job_id, detail))
+        self.cell.log(LogEntry("start_refused", run.key.job_id, detail))
         if reason is Reason.EXPIRED:
             return RESEND_BASE_S
         if reason is Reason.OUTDATED:
-            # It has run and ended: its end is in a report, or was in one.
+            # The run has started and ended: its end is in a report, or was in one.
             run.phase = RunPhase.RUNNING
             run.confirmed_at_s = now_s + self.cell.settings.answer_timeout_s
             return None
@@ -99,8 +102,8 @@
                 worker.rest_until_s, now_s + self.cell.settings.unwell_s
             )
         if run.unanswered:
-            # An earlier copy of the order may still be carried out; an answered
-            # stop of this run makes that harmless.
+            # An earlier copy of the order may still be carried out; once a stop of this
+            # run is answered, that is harmless.
             self.cell.stop(run, "unsettled_start")
             return None
         self.cell.release(run, now_s, f"refused_{reason.value}")
@@ -109,17 +112,19 @@
     def stop_answered(
         self, order: StopOrder, outcome: OrderOutcome, now_s: float
     ) -> bool:
-        """Take in what became of a stop; return whether to send it again."""
+        """Process the outcome of a stop; return whether to send it again."""
         if not self.cell.booked(order.run):
             return False
         match outcome:
             case Done():
                 if order.run.confirmed_at_s > now_s:
-                    # Refused from now on, or ending: the reports tell which.
+                    # The worker refuses the start from now on, or is ending the run:
+                    # its reports show which.
                     order.run.confirmed_at_s = now_s + self.cell.settings.stop_s
                 return False
             case NoAnswer() | Refused(Reason.UNWELL):
-                # An unwell worker has done nothing, and will be well again.
+                # An unwell worker has not executed the order, and is expected to
+                # recover.
                 return True
             case OtherIncarnation():
                 self.cell.worker_ended(order.worker_id, now_s, "replaced")
--- a/packages/hornbeampaddle/hornbeampaddle/cell/pacing.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/pacing.py
@@ -45,7 +45,7 @@
     def observe(self, worker: WorkerState, now_s: float) -> None:
         """Take in a worker's newest tails; queue the changes of pace."""
         uses = _filling(worker)
-        worker.held_back_cpu_millis = _held_back(worker)
+        worker.unused_filler_cpu_millis = _held_back(worker)
         readings = _readings(worker)
         self.model.observe(readings, uses, now_s)
         self.note_own(worker, now_s)
@@ -89,7 +89,7 @@
             own = self.model.own(run.key.job_id, now_s, PLACE_AHEAD_S)
             known = worker.own_slack.get(run.step.image, own)
             worker.own_slack[run.step.image] = min(own, known)
-        worker.changed()
+        worker.invalidate_cache()
 
     def _note_over(
         self, worker: WorkerState, worst: Reading | None, now_s: float
--- a/packages/hornbeampaddle/hornbeampaddle/cell/placing.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/placing.py
@@ -185,7 +185,7 @@
     if allowed_share(step, worker, model) < 1.0:
         return None
     share = step.need.cpu_millis / worker.listing.capacity.cpu_millis
-    taken = share * worker.filler_room(step.image, model).slope
+    taken = share * worker.filler_headroom(step.image, model).slope
     return worker.spare_cpu_millis() - taken * SLACK_COST_MILLIS
 
 
@@ -202,7 +202,7 @@
         # A serving task here is over its latency target. A filler started now would
         # keep it there by running on while the other fillers are paused.
         return 0.0
-    room = worker.filler_room(step.image, model).share
+    room = worker.filler_headroom(step.image, model).share
     if room == math.inf:
         return 1.0
     share = step.need.cpu_millis / worker.listing.capacity.cpu_millis
--- a/packages/hornbeampaddle/hornbeampaddle/cell/progress.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/progress.py
@@ -1,9 +1,9 @@
 """
-Follow how far each job is.
+Track the progress of each job.
 
-``JobState`` is what the holder decides on. The part of it that must outlive
-the holder is written as one record a job whenever it changes, and a new holder
-rebuilds the state from the newest records.
+``JobState`` is the state on which the holder schedules. The part of it that must
+outlive the holder is stored as one record per job whenever it changes, and a new
+holder rebuilds the state from the newest records.
 """
 
 from collections.abc import Iterator
@@ -17,7 +17,7 @@
 
 
 class JobStatus(IntEnum):
-    """What a caller is told of a job; the numbers are stored."""
+    """The status of a job as callers see it; the numbers are stored."""
 
     QUEUED = 0
     ACTIVE = 1
@@ -27,17 +27,17 @@
 
     @property
     def final(self) -> bool:
-        """Tell whether the job has ended."""
+        """Return whether the job has ended."""
         return self >= JobStatus.COMPLETED
 
 
 class RunPhase(IntEnum):
     """
-    How far an attempt to run a task is.
+    The phase of an attempt to run a task.
 
-    RECORDING: to be stored, not yet sent. SENDING: sent, its answer is open or
-    was lost. INHERITED: found in a record of an earlier holder. RUNNING: the
-    worker has confirmed it. STOPPING: the worker was told to end it.
+    RECORDING: its record is being stored, the start is not yet sent. SENDING: the start
+    is sent, its answer is pending or was lost. INHERITED: restored from a record of an
+    earlier holder. RUNNING: the worker has confirmed it. STOPPING: its stop is ordered.
     """
 
     RECORDING = 0
@@ -49,7 +49,7 @@
 
 @dataclass(slots=True)
 class Run:
-    """One attempt to run a task on one worker; it takes room until it ends."""
+    """One attempt to run a task on one worker; it occupies room until it ends."""
 
     key: TaskKey
     number: int
@@ -62,9 +62,9 @@
     unanswered: int = 0
     placed_at_s: float = 0.0
     confirmed_at_s: float = float("inf")
-    # When its start was first sent: not yet, or long ago if another holder has sent it.
+    # When its start was first sent: inf if not yet, -inf if an earlier holder sent it.
     sent_at_s: float = float("inf")
-    # When a report first listed it as running.
+    # When a report first listed it as running; inf if none has.
     reported_at_s: float = float("inf")
     stop_sent_at_s: float = float("-inf")
     stop_reason: str = ""
@@ -74,30 +74,32 @@
     tail_s: float = 0.0
     used_cpu_millis: int = -1
     pace_percent: int = 100
-    # The pace that is ordered as soon as the worker has confirmed the start.
+    # The pace to order as soon as the worker has confirmed the start.
     first_pace_percent: int = 100
-    # Its task may have crashed workers before.
+    # Whether earlier attempts of its task are suspected of crashing their workers.
     suspected: bool = False
     # Workers that were lost while running earlier attempts of the task.
     lost_worker_ids: frozenset[str] = frozenset()
-    # It was placed where others use all processors: more speed would slow them.
+    # Whether it was placed on a worker whose CPU is fully used by other runs, which a
+    # higher pace would slow down.
     shares_processors: bool = False
 
     @property
     def reported(self) -> bool:
-        """Tell whether a report has listed it as running."""
+        """Return whether a report has listed it as running."""
         return self.reported_at_s != float("inf")
 
 
 @dataclass(slots=True)
 class Task:
     """
-    One task: its attempts and what runs now.
+    One task: its attempts and its current run.
 
-    ``failed_runs`` holds the numbers of the attempts that failed, not only how
-    many: an end that is listed again, to this holder or the next, counts once.
-    ``crashed_runs`` holds those under which a worker was lost, with the worker,
-    ``prompt_crashes`` those of them where that was within a moment of the start.
+    ``failed_runs`` holds the numbers of the failed attempts instead of their count, so
+    that an end that is listed again, to this holder or the next, counts once.
+    ``crashed_runs`` maps the numbers of attempts during which the worker was lost to
+    that worker's id; ``prompt_crashes`` holds those of them whose worker was lost
+    within ``crashes.PROMPT_CRASH_S`` of the start.
     """
 
     key: TaskKey
@@ -109,12 +111,12 @@
     checkpoint: str = ""
     run: Run | None = None
     last_worker_id: str = ""
-    # When its last run ended; without one it waits since its step's turn has come.
+    # When its last run ended; a task without one has waited since its step was ready.
     ended_at_s: float = float("-inf")
 
     @property
     def waiting(self) -> bool:
-        """Tell whether the task needs a worker."""
+        """Return whether the task needs a worker."""
         return not self.done and self.run is None
 
 
@@ -129,23 +131,25 @@
 
     @property
     def done(self) -> bool:
-        """Tell whether every task has ended well."""
+        """Return whether every task has succeeded."""
         return all(task.done for task in self.tasks)
 
     def waiting(self) -> list[Task]:
         """Return the tasks that need a worker."""
         return [task for task in self.tasks if task.waiting]
 
-    def used(self) -> dict[str, int]:
-        """Count the tasks of the step that have a run, by worker."""
-        used: dict[str, int] = {}
+    def tasks_by_worker(self) -> dict[str, int]:
+        """Return the number of the step's tasks with a run, by worker id."""
+        tasks_by_worker: dict[str, int] = {}
         for task in self.tasks:
             if task.run is not None:
-                used[task.run.worker_id] = used.get(task.run.worker_id, 0) + 1
-        return used
+                tasks_by_worker[task.run.worker_id] = (
+                    tasks_by_worker.get(task.run.worker_id, 0) + 1
+                )
+        return tasks_by_worker
 
-    def away_s(self, now_s: float) -> float:
-        """Return how long ago the last run ended of a task that ran and waits again."""
+    def interrupted_s(self, now_s: float) -> float:
+        """Return the longest time for which a task that has run waits to run again."""
         ready_at_s = now_s if self.ready_at_s is None else self.ready_at_s
         ended_s = [
             max(ready_at_s, task.ended_at_s) for task in self.waiting() if task.last_run
@@ -153,7 +157,7 @@
         return now_s - min(ended_s, default=now_s)
 
     def failures(self, task: Task) -> int:
-        """Count the failed attempts that a task's limit is held against."""
+        """Return the number of failed attempts that count against a task's limit."""
         if not self.step.gang:
             return len(task.failed_runs)
         return len({number for member in self.tasks for number in member.failed_runs})
@@ -170,11 +174,11 @@
     occurrences: dict[int, list[StepState]] = field(default_factory=dict)
     finished_at_s: float | None = None
     accepted_at_s: float = 0.0
-    # How long a step of it has waited for each reason, under this holder.
+    # How long its steps have waited under this holder, by reason, in seconds.
     waited_s: dict[str, float] = field(default_factory=dict)
 
     def open_occurrence(self, number: int) -> list[StepState]:
-        """Create the tasks of one occurrence, unless they are there."""
+        """Return the steps of one occurrence, creating them if necessary."""
         if number not in self.occurrences:
             job_id = self.job.job_id
             self.occurrences[number] = [
@@ -184,7 +188,7 @@
         return self.occurrences[number]
 
     def task(self, key: TaskKey) -> Task | None:
-        """Return a task, or nothing if the job has no such task."""
+        """Return a task, or None if the job has no such task."""
         steps = self.occurrences.get(key.occurrence)
         if steps is None or key.step >= len(steps):
             return None
@@ -192,7 +196,7 @@
         return tasks[key.position] if key.position < len(tasks) else None
 
     def tasks(self) -> Iterator[Task]:
-        """Return every task of the occurrences that are open."""
+        """Return every task of the occurrences opened so far."""
         for steps in self.occurrences.values():
             for state in steps:
                 yield from state.tasks
@@ -202,7 +206,7 @@
         return [task.run for task in self.tasks() if task.run is not None]
 
     def all_done(self) -> bool:
-        """Tell whether every occurrence has ended well."""
+        """Return whether every occurrence has succeeded."""
         if len(self.occurrences) < self.job.occurrences:
             return False
         return all(s.done for steps in self.occurrences.values() for s in steps)
@@ -213,25 +217,25 @@
     return StepState(key, step, tasks)
 
 
-TaskCell = int | tuple[int, list[int], str, str]
+PackedTask = int | tuple[int, list[int], str, str]
 
 
 class ProgressRecord(msgspec.Struct, array_like=True, frozen=True):
     """
-    The stored progress of one job, under an epoch of a holder.
+    The stored progress of one job, written under a holder's epoch.
 
-    Each row of ``occurrences`` is an occurrence's number and, task by task in
-    the order of the steps: 1 for done, 0 for untouched, otherwise the last run,
-    the numbers of the failed runs, the worker of the attempt that may be running
+    Each row of ``occurrences`` is an occurrence's number and its tasks in the order of
+    the steps. A task is 1 if done, 0 if it never ran, otherwise the number of its last
+    run, the numbers of its failed runs, the worker of the attempt that may be running
     (or empty) and the newest checkpoint.
 
-    Each row of ``crashes`` is an occurrence's number, the place of a task in that
-    order, the runs under which a worker was lost with the worker, and those of them
-    where that was prompt.
+    Each row of ``crashes`` is an occurrence's number, the index of a task in that
+    order, a map from the runs during which a worker was lost to that worker, and those
+    of these runs whose worker was lost promptly after the start.
     """
 
     status: int
-    occurrences: list[tuple[int, list[TaskCell]]]
+    occurrences: list[tuple[int, list[PackedTask]]]
     crashes: list[tuple[int, int, dict[int, str], list[int]]] = []
 
 
@@ -240,25 +244,25 @@
 
 
 def encode(state: JobState) -> bytes:
-    """Return the record of a job's progress."""
+    """Return the encoded record of a job's progress."""
     rows = []
     crashes = []
     for number, steps in state.occurrences.items():
         tasks = [task for step in steps for task in step.tasks]
-        rows.append((number, [_packed(task) for task in tasks]))
-        for place, task in enumerate(tasks):
+        rows.append((number, [_pack(task) for task in tasks]))
+        for task_index, task in enumerate(tasks):
             if task.crashed_runs and not task.done:
-                row = (number, place, task.crashed_runs, task.prompt_crashes)
+                row = (number, task_index, task.crashed_runs, task.prompt_crashes)
                 crashes.append(row)
     return _encoder.encode(ProgressRecord(int(state.status), rows, crashes))
 
 
 def decode_status(value: bytes) -> JobStatus:
-    """Return only the status of a stored record."""
+    """Return the job status from an encoded progress record."""
     return JobStatus(_decoder.decode(value).status)
 
 
-def _packed(task: Task) -> TaskCell:
+def _pack(task: Task) -> PackedTask:
     if task.done:
         return 1
     if not task.last_run:
@@ -271,8 +275,8 @@
     """
     Rebuild a job's state from its stored progress.
 
-    Attempts that may still run come back in the phase INHERITED: their workers
-    know better.
+    Attempts that may still be running are restored in phase INHERITED until their
+    workers report.
     """
     state = JobState(job, accepted_at_s=accepted_at_s)
     if value is None:
@@ -286,13 +290,15 @@
         tasks = [(step.step, task) for step in steps for task in step.tasks]
         for (step, task), cell in zip(tasks, packed, strict=True):
             _unpack(task, step, cell)
-    for number, place, crashed, prompt in record.crashes:
-        task = [t for step in state.open_occurrence(number) for t in step.tasks][place]
+    for number, task_index, crashed, prompt in record.crashes:
+        task = [t for step in state.open_occurrence(number) for t in step.tasks][
+            task_index
+        ]
         task.crashed_runs, task.prompt_crashes = crashed, prompt
     return state
 
 
-def _unpack(task: Task, step: Step, cell: TaskCell) -> None:
+def _unpack(task: Task, step: Step, cell: PackedTask) -> None:
     if isinstance(cell, int):
         task.done = cell == 1
         return
--- a/packages/hornbeampaddle/hornbeampaddle/cell/reports.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/reports.py
@@ -1,4 +1,4 @@
-"""Define what workers answer, as the scheduler reads it."""
+"""Define the workers' reports and answers to orders, as the scheduler reads them."""
 
 from dataclasses import dataclass
 from enum import Enum
@@ -7,7 +7,7 @@
 
 
 class EndKind(Enum):
-    """How an attempt ended, as its worker says."""
+    """How an attempt ended, as reported by its worker."""
 
     DONE = "done"
     FAILED = "failed"
@@ -20,10 +20,10 @@
 @dataclass(frozen=True, slots=True)
 class RunningRow:
     """
-    An attempt that a worker has; ``measure`` is a tail or a use of CPU.
+    An attempt that is running on a worker, with its latest measurement.
 
-    ``measure`` is the tail latency in milliseconds for a task with a tail
-    target, otherwise thousandths of a core in use; -1 if it was not given.
+    ``measure`` is the tail latency in milliseconds for a task with a tail latency
+    target, otherwise the CPU usage in thousandths of a core; -1 if not reported.
     """
 
     key: TaskKey
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedRow:
-    """An end that a worker lists until it is acknowledged."""
+    """The end of an attempt, which its worker lists until it is acknowledged."""
 
     position: int
     key: TaskKey
@@ -47,9 +47,10 @@
 @dataclass(frozen=True, slots=True)
 class Report:
     """
-    All that one worker has, at one moment between two local times.
+    The complete state of one worker at a moment between two local times.
 
-    ``sent_at_s`` and ``received_at_s`` are local; ``clock_s`` is the worker's.
+    ``sent_at_s`` and ``received_at_s`` are local times of the request and the answer;
+    ``clock_s`` is the time on the worker's clock.
     """
 
     sent_at_s: float
@@ -61,13 +62,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The worker has carried the order out, now or before."""
+    """The worker has carried out the order, now or earlier."""
 
     clock_s: float = 0.0
 
 
 class Reason(Enum):
-    """Why a worker did not carry an order out."""
+    """Why a worker refused an order."""
 
     FENCED = "fenced"
     OUTDATED = "outdated"
@@ -80,7 +81,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The worker did nothing, and says why."""
+    """The worker did not carry out the order, for the reason given."""
 
     reason: Reason
     clock_s: float = 0.0
@@ -88,12 +89,12 @@
 
 @dataclass(frozen=True, slots=True)
 class OtherIncarnation:
-    """At this address answers another process: the one we meant has ended."""
+    """Another process answers at this address: the addressed one has ended."""
 
 
 @dataclass(frozen=True, slots=True)
 class NoAnswer:
-    """Nothing came back: carried out, not carried out, or carried out later."""
+    """No answer: the order was, was not, or may later be carried out."""
 
     detail: str = ""
 
--- a/packages/hornbeampaddle/hornbeampaddle/cell/separating.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/separating.py
@@ -141,7 +141,7 @@
             return
         worker = self.cell.workers.get(reservation.worker_id)
         if worker is not None:
-            worker.let_go(reservation.charge)
+            worker.release_reserved_room(reservation.charge)
 
     def separate(self, now_s: float) -> None:
         """Begin the moves that make the most CPU available to waiting fillers."""
@@ -208,14 +208,14 @@
         until_s = now_s + RESERVATION_TIMEOUT_S
         reservation = Reservation(target.worker_id, run.charge, until_s)
         self._reserved[run.key] = reservation
-        target.hold(run.charge)
+        target.reserve_room(run.charge)
         self.cell.stop(run, REASON)
 
     def _places(self, outlook: Outlook, now_s: float) -> list[Place]:
         workers = [
             worker
             for worker in self.cell.workers.values()
-            if worker.usable(now_s) and worker.held == NOTHING
+            if worker.usable(now_s) and worker.reserved_room == NOTHING
         ]
         return [
             _place_of(w, outlook) for w in self._sample(workers, SAMPLED_WORKERS_MAX)
--- a/packages/hornbeampaddle/hornbeampaddle/cell/settings.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/settings.py
@@ -1,4 +1,4 @@
-"""Keep every threshold of the cell scheduler, with its unit and its reason."""
+"""Define the thresholds of the cell scheduler, each with its unit and its reason."""
 
 from dataclasses import dataclass
 
@@ -6,71 +6,80 @@
 @dataclass(frozen=True, slots=True)
 class CellSettings:
     """
-    Thresholds of one cell; the defaults serve cells of 3 to 250 workers.
+    Thresholds of one cell; the defaults suit cells of 3 to 250 workers.
 
-    Times are seconds, ratios are between 0 and 1 unless said otherwise.
+    Times are in seconds; ratios are between 0 and 1 unless stated otherwise.
     """
 
-    # How long a worker's runs live without a renewal. Long enough for a zone
-    # that is cut off for 6.5 s; no longer, for the tasks of a worker that died
-    # may only start elsewhere when it has passed.
+    # Duration of a worker's lease: how long its runs continue without a renewal. Long
+    # enough to survive a network partition of a zone for 6.5 s; not longer, because the
+    # tasks of a dead worker may start elsewhere only after the lease has expired.
     lease_s: float = 8.0
-    # A holder that can store nothing renews leases for so long after it has
-    # stopped giving orders: work that runs lives through an outage of the store
-    # of this, the lapse and the lease together, 11.5 s.
+    # How long a holder that cannot store records keeps renewing leases after it has
+    # stopped giving orders. Running tasks survive a store outage of this time,
+    # ``holder_lapse_s`` and ``lease_s`` together, 11.5 s.
     renew_on_s: float = 2.0
-    # Workers' clocks may run slow by this ratio.
+    # Largest ratio by which workers' clocks may run slow.
     clock_error_ratio: float = 0.02
-    # A holder that has stored nothing for so long stops giving orders ...
+    # Time without a stored record after which a holder stops giving orders ...
     holder_lapse_s: float = 1.5
-    # ... and the others claim its place after so long: later, by more than
-    # the clock error and one round trip to the store.
+    # ... and after which other instances claim the cell: later by more than the clock
+    # error and one round trip to the store.
     claim_after_s: float = 2.0
-    # An idle holder stores a sign of life this often: three fit into a lapse.
+    # Interval at which an idle holder stores a heartbeat: three fit into
+    # ``holder_lapse_s``.
     heartbeat_s: float = 0.4
-    # How long a stop may take before the run's end is listed.
+    # Time that a stop may take until the run's end is reported.
     stop_s: float = 0.4
-    # A report waits this long for an end: a shorter wait costs calls, a longer
-    # one makes readings of tails too old to pace by.
+    # How long a request for a report waits at the worker for an end (long polling): a
+    # shorter wait costs more calls, a longer one makes tail latency readings too old to
+    # set paces by.
     report_wait_s: float = 0.8
-    # Orders and reports get this much time beyond the wait that they ask for;
-    # workers answer within 10 ms, so a lost answer costs this and no more.
+    # Timeout of orders and reports, beyond the wait that they request: workers answer
+    # within 10 ms, so a lost answer costs only this time.
     answer_timeout_s: float = 0.6
-    # A worker rests after so many failures in a row, or half of its last ends.
+    # A worker rests (it gets no new tasks, except lasting ones that fit nowhere else)
+    # after this many consecutive failures, or if half of its recent ends are
+    # failures ...
     failures_in_row: int = 2
+    # ... for this long.
     rest_s: float = 6.0
-    # A worker that said that it is unwell, or has no room, is asked again.
+    # How long a worker rests that refused a start as unwell or for lack of room, before
+    # it is sent starts again.
     unwell_s: float = 1.0
-    # A run whose progress stands still for so long, unpaced, is stopped.
+    # Time without progress, at full pace, after which a run is stopped.
     stall_s: float = 2.5
-    # Fillers give way when a serving task's slack, its target over its tail, falls
-    # below this ...
+    # Fillers are slowed down when a serving task's slack (its tail latency target over
+    # its tail latency) falls below this ...
     pace_below_slack: float = 1.15
-    # ... and speed up again as far as it stays above this.
+    # ... and sped up again as long as the slack stays above this.
     relax_above_slack: float = 1.3
-    # Below this slack a task counts as over its target, until it is well above ...
+    # A task counts as over its target from when its slack falls below the first of
+    # these until it rises above the second ...
     over_below_slack: float = 1.03
     well_above_slack: float = 1.12
-    # ... and after so long all fillers beside it stand still: the operator tolerates
-    # 4 s, of which readings, reports and orders take up to 2.6 s, one of them lost.
+    # ... and after this time over its target, all fillers beside it are paused: the
+    # operator tolerates 4 s, of which readings, reports and orders, one of them lost,
+    # take up to 2.6 s.
     silence_after_s: float = 1.4
-    # Reports of a worker where a task is over its target come this often.
+    # The wait for an end, and so the interval of reports, for a worker on which a task
+    # is over its target.
     report_wait_over_s: float = 0.4
-    # Target rate of reports over all idle workers: the larger the cell, the less often
-    # each of them is polled, which leaves the holder time for busy workers.
+    # Target rate of reports per second over all idle workers: the larger the cell, the
+    # less often each of them is polled, which leaves the holder time for busy workers.
     idle_reports_per_s: float = 500.0
-    # Limit on concurrent first reports, so that a new holder can keep the cell.
+    # Limit on concurrent first reports, so that a new holder does not lose the cell.
     first_reports_max: int = 128
-    # Nothing starts by a list of workers that was complete longer ago: operators allow
-    # 3 s to take note of a worker that shrank, of which an order may need 0.6 s.
+    # Maximum age of the list of workers at which tasks may start: operators allow 3 s
+    # to react to a worker whose capacity shrank, of which an order may take 0.6 s.
     list_recent_s: float = 2.4
-    # Nothing starts by an operator's log that was complete longer ago: operators allow
-    # 5 s to take note of an evacuation, of which an order may need 0.6 s.
+    # Maximum age of the view of the operator's log at which tasks may start: operators
+    # allow 5 s to react to an evacuation, of which an order may take 0.6 s.
     evacuations_recent_s: float = 4.4
-    # How far ahead of an occurrence's time it may start; clocks differ.
+    # How long before its due time an occurrence may start, since clocks differ.
     early_s: float = 0.0
-    # Finished jobs are forgotten after so long: callers ask for 120 s.
+    # Retention time of finished jobs: callers query them for 120 s.
     keep_finished_s: float = 130.0
-    # Workers named in one question for advice: few, for each costs time. The next
-    # question names others.
+    # Maximum number of workers in one question for advice: few, since each costs time.
+    # The next question names others.
     advice_workers: int = 24
--- a/packages/hornbeampaddle/hornbeampaddle/cell/slow_starts.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/slow_starts.py
@@ -49,7 +49,7 @@
     period occurs, and callers of a late job would wait for hours.
     """
     waited_s = now_s - (step.ready_at_s or now_s)
-    quiet = cell.quiet_s(step.key.job_id, now_s) >= QUIET_S
+    quiet = cell.since_last_arrival_s(step.key.job_id, now_s) >= QUIET_S
     wait_max_s = AWAY_MAX_S if step.step.lasting else STARVED_AFTER_S
     if not quiet and waited_s < wait_max_s:
         return False
@@ -93,11 +93,13 @@
         if not waits_enough(step, turn.now_s):
             return
         share_min = SLOW_SHARE_MIN
-    used = step.used()
+    tasks_by_worker = step.tasks_by_worker()
     key = waiting[0].key
     # These workers have not been filtered by a ranking: exclude those that have reached
     # the step's limit of tasks per worker or already have a stray run of the task.
-    candidates = [w for w in turn.workers if can_place(step.step, w, key, used)]
+    candidates = [
+        w for w in turn.workers if can_place(step.step, w, key, tasks_by_worker)
+    ]
     place = choose_for_slow_start(step.step, candidates, model, share_min)
     if place is None:
         return
--- a/packages/hornbeampaddle/hornbeampaddle/cell/starting.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/starting.py
@@ -1,9 +1,9 @@
-"""Book an attempt of a task on a worker, whoever chose the place."""
+"""Book an attempt of a task on a worker, independent of how it was chosen."""
 
 from typing import TYPE_CHECKING
 
 from .crashes import suspected
-from .effects import Decision, Note
+from .effects import Decision, LogEntry
 from .progress import JobState, JobStatus, Run, StepState, Task
 from .workers import WorkerState
 
@@ -21,7 +21,11 @@
     granted: dict[str, str],
     now_s: float,
 ) -> Run:
-    """Book the next attempt of a task on a worker, and order its start."""
+    """
+    Book the next attempt of a task on a worker, and order its start.
+
+    ``granted`` maps worker ids to the tickets that the advice service has issued.
+    """
     task.last_run += 1
     run = Run(task.key, task.last_run, worker.worker_id, step.step, step.step.charge)
     run.checkpoint = task.checkpoint
@@ -32,10 +36,10 @@
     run.lost_worker_ids = frozenset(task.crashed_runs.values())
     if suspected(task):
         run.suspected = True
-        worker.trial = run
+        worker.isolated_run = run
     if step.step.tail_target_s:
-        # The job's other tasks say how loaded its users are: without them, fillers
-        # would stay away from here until the first report.
+        # Estimate the load of the job's users from its other tasks; otherwise no filler
+        # would be placed on this worker until the first report.
         cell.pacer.note_own(worker, now_s)
     if not state.started:
         state.started = True
@@ -50,5 +54,5 @@
         "report_age_s": round(now_s - worker.last_report_at_s, 3),
         "free_cpu_millis": worker.free().cpu_millis,
     }
-    cell.note(Note("start", state.job.job_id, detail))
+    cell.log(LogEntry("start", state.job.job_id, detail))
     return run
--- a/packages/hornbeampaddle/hornbeampaddle/cell/summary.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/summary.py
@@ -1,4 +1,4 @@
-"""Sum up a cell in one line: what waits, what runs, what is free."""
+"""Summarize a cell for the log: waiting and running tasks, free capacity."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -13,10 +13,11 @@
 @dataclass(frozen=True, slots=True)
 class Summary:
     """
-    One moment of a cell.
+    A snapshot of a cell.
 
     ``waiting`` and ``running`` count tasks by kind: ``lasting``, ``filler`` or
-    ``plain``. Processors are thousandths of a core over all usable workers.
+    ``plain``. Free and spare CPU are thousandths of a core; they are totals over all
+    usable workers, except for ``widest_free_cpu_millis``, the largest of one worker.
     """
 
     open_jobs: int
@@ -34,14 +35,14 @@
 
 
 def kind_of(step: Step) -> str:
-    """Name the kind of a step's tasks."""
+    """Return the kind of a step's tasks: lasting, filler or plain."""
     if step.lasting:
         return "lasting"
     return "filler" if step.filler else "plain"
 
 
 def summary(cell: "Scheduler", now_s: float) -> Summary:
-    """Return the state of a cell."""
+    """Return the summary of a cell."""
     waiting: Counter[str] = Counter()
     for state in cell.open_jobs.values():
         if state.status.final:
--- a/packages/hornbeampaddle/hornbeampaddle/cell/turns.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/turns.py
@@ -50,7 +50,7 @@
             self.step.key.job_id,
             self.step.step,
             self.cell.model,
-            self.step.used(),
+            self.step.tasks_by_worker(),
             outlook=self.cell.outlook(self.now_s),
         )
 
--- a/packages/hornbeampaddle/hornbeampaddle/cell/urgency.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/urgency.py
@@ -68,7 +68,7 @@
     # Guards against a task that lasts and stays away for as long as urgent jobs come:
     # it was stopped to make room for one, and each later one was placed before it,
     # including those from queues of higher priority.
-    overdue = step.step.lasting and step.away_s(now_s) > AWAY_MAX_S
+    overdue = step.step.lasting and step.interrupted_s(now_s) > AWAY_MAX_S
     return (not overdue, job.queue.priority, job.lasting, chance, order)
 
 
--- a/packages/hornbeampaddle/hornbeampaddle/cell/waiting.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/waiting.py
@@ -10,7 +10,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING
 
-from .effects import Note
+from .effects import LogEntry
 from .placing import has_spare_cpu, suits
 from .progress import JobState, StepState
 from .workers import WorkerState
@@ -107,12 +107,12 @@
         due.sort(key=lambda sight: (sight.wait.noted_at_s, sight.wait.since_s))
         for sight in due[:NOTES_AT_ONCE]:
             sight.wait.noted_at_s = now_s
-            cell.note(_note(cell, sight, now_s))
+            cell.log(_note(cell, sight, now_s))
         self.waits = {job_id: sight.wait for job_id, sight in self._seen.items()}
         self._seen = {}
 
 
-def _note(cell: "Scheduler", sight: Sight, now_s: float) -> Note:
+def _note(cell: "Scheduler", sight: Sight, now_s: float) -> LogEntry:
     step = sight.step
     use_ratio = cell.use_ratio(cell.service_of(sight.state.job))
     detail: dict[str, object] = {
@@ -124,14 +124,14 @@
         "use_ratio": round(use_ratio, 3),
         **_most(sight.workers),
     }
-    return Note("job_waits", step.key.job_id, detail)
+    return LogEntry("job_waits", step.key.job_id, detail)
 
 
 def _reason(cell: "Scheduler", sight: Sight) -> WaitReason:
     """
     Tell no worker from evacuated ones, no memory from others that keep a filler out.
 
-    It is worked out only for a note: hundreds of steps may wait in each decision.
+    It is worked out only for a log entry: hundreds of steps may wait in each decision.
     """
     step = sight.step.step
     if not sight.workers and _suited_are_evacuated(cell, sight):
