--- a/features/steps/job_steps.py
+++ b/features/steps/job_steps.py
@@ -144,12 +144,14 @@
     scene = context.scene
 
     def opened():
-        lanes = [
+        slot_groups = [
             lane
             for instance in scene.instances.values()
-            for lane in instance.control.slots.lanes.values()
+            for lane in instance.control.slots.slot_groups.values()
         ]
-        return len(lanes) == len(scene.machines) and all(lane.open for lane in lanes)
+        return len(slot_groups) == len(scene.machines) and all(
+            lane.open for lane in slot_groups
+        )
 
     assert scene.until(opened, within_s)
 
--- a/features/steps/parser_steps.py
+++ b/features/steps/parser_steps.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from result import Err, Ok
 
-from hornbeampaddle.book import Book, Hold, HoldState
+from hornbeampaddle.allocation_table import Allocation, AllocationState, AllocationTable
 from hornbeampaddle.clocks import RemoteClock
 from hornbeampaddle.contracts import TaskOrder
 from hornbeampaddle.identity import AttemptId
@@ -145,26 +145,26 @@
     received_s = stamp_at_s + delay_s
     clock.observe(remote(stamp_at_s), received_s)
     deadline_s = received_s + ahead_s
-    there_s = clock.deadline_there(deadline_s)
+    there_s = clock.remote_deadline_before(deadline_s)
     slack_s = 1e-6 * max(1.0, deadline_s, offset_s)
     assert remote(deadline_s) >= there_s - slack_s
-    assert remote(clock.passed_there_by(there_s)) >= there_s - slack_s
+    assert remote(clock.local_time_past(there_s)) >= there_s - slack_s
 
 
 @FIXED
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 9), st.integers(0, 5000))))
 def books_hold(steps):
-    book = Book(Resources(10_000, 10_000, 0), Resources(2_000, 0, 0))
+    book = AllocationTable(Resources(10_000, 10_000, 0), Resources(2_000, 0, 0))
     for take, number, size in steps:
         attempt = AttemptId("job/0", 1, number)
         needs = Resources(size, size, 0)
         order = TaskOrder(attempt, "e0~1/0", "team", "kind", needs, 1.0)
         if take:
-            book.take(Hold(order, HoldState.STARTING, 0.0))
+            book.take(Allocation(order, AllocationState.STARTING, 0.0))
         else:
             book.release(attempt)
-        assert not book.overdrawn()
-    for attempt in list(book.holds):
+        assert not book.is_overcommitted()
+    for attempt in list(book.allocations):
         book.release(attempt)
     assert book.room() + book.reserved == book.capacity
     assert NOTHING.fits_in(book.room())
--- a/model/takeover.py
+++ b/model/takeover.py
@@ -28,7 +28,7 @@
     "start_epoch",  # start on its way to the worker: its epoch; 0 none
     "start_left",  # ticks left of the lease that the start asks for
     "decider_left",  # ticks of the old owner's authority that the decider knows
-    "decider_holds",  # the old decider's book has the attempt
+    "decider_holds",  # the old decider's allocation table has the attempt
     "epoch",  # the first worker's epoch: 1 old decider, 2 successor's
     "first",  # what the first worker does for the task
     "lease_left",  # ticks left of the attempt's lease there
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/control.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/control.py
@@ -38,11 +38,11 @@
     RunningNotice,
 )
 from hornbeampaddle.notices import AttemptEnded, Notice, OwnerInventory
-from hornbeampaddle.placement import Rooms
+from hornbeampaddle.placement import CapacityView
 from hornbeampaddle.records import CONFIG_STREAM, ConfigRecord, ConfigSnapshot
 from hornbeampaddle.resources import Resources
 from hornbeampaddle.slots import SlotPool
-from hornbeampaddle.wiring import notice_of, order_of, wire_notice
+from hornbeampaddle.wire_conversion import notice_of, order_of, wire_notice
 
 from .context import Context
 from .desk import Desk
@@ -92,7 +92,7 @@
         self.home_link = home_link
         self.slots = SlotPool()
         self.fleet = Fleet(context, self.slots)
-        rooms = Rooms(random.Random(context.rng.random()))
+        rooms = CapacityView(random.Random(context.rng.random()))
         self.jobs = JobKeeper(context, rooms, home_link, self._run_here)
         self.peering = Peering(context, self.fleet, self.jobs)
         self.desk = Desk(context, self.fleet, self.slots, traces)
@@ -317,7 +317,7 @@
 
     def _disown(self, dead_owner: str) -> None:
         for decider in self.fleet.held():
-            decider.succeeded(dead_owner)
+            decider.on_succession(dead_owner)
 
     def _ask_inventories(self, dead_owner: str, now_s: float) -> None:
         for decider in self.fleet.held():
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/desk.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/desk.py
@@ -26,10 +26,10 @@
     ForwardRequest,
 )
 from hornbeampaddle.outcomes import Done, NotRun, Outcome, Reason, Unknown
-from hornbeampaddle.queueing import RequestQueue, Urgency, Waiting
+from hornbeampaddle.queueing import QueuedRequest, RequestQueue, Urgency
 from hornbeampaddle.records import SetService
 from hornbeampaddle.slots import LATENCY_WEIGHT, Slot, SlotPool
-from hornbeampaddle.wiring import outcome_of, wire_outcome
+from hornbeampaddle.wire_conversion import outcome_of, wire_outcome
 
 from .context import Context
 from .fleet import Fleet
@@ -105,7 +105,7 @@
         self.lines: dict[str, _Lines] = {}
         self.counts: dict[str, int] = {}
         self._running: dict[str, Ticket] = {}
-        self._waiting: dict[str, Waiting] = {}
+        self._waiting: dict[str, QueuedRequest] = {}
         self._forwards: dict[str, Ticket] = {}
         self.loans = Loans(context, slots, self.pump)
         self._numbers = itertools.count(1)
@@ -256,12 +256,12 @@
                 self._fenced(slot, fenced, now_s)
                 self._again(ticket, NotRun(Reason.NO_CAPACITY, RETRY_AFTER_S), now_s)
             case NotSent():
-                self.slots.rest(slot, now_s)
+                self.slots.back_off(slot, now_s)
                 self._put(slot, None)
                 outcome = NotRun(Reason.WORKER_UNREACHABLE, RETRY_AFTER_S)
                 self._again(ticket, outcome, now_s)
             case NoAnswer() | AnswerCutShort() as lost:
-                self.slots.rest(slot, now_s)
+                self.slots.back_off(slot, now_s)
                 self._lost(mail, lost, now_s)
         self.pump(ticket.service, now_s)
 
@@ -302,7 +302,7 @@
         if slot.grant_id:
             self.slots.borrowed.pop(slot.grant_id, None)
             return
-        lane = self.slots.lanes.get((slot.worker_id, slot.service))
+        lane = self.slots.slot_groups.get((slot.worker_id, slot.service))
         if lane is not None and lane.epoch == slot.epoch:
             self.fleet.fenced(slot.worker_id, answer, now_s)
 
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/fleet.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/fleet.py
@@ -13,8 +13,8 @@
 from hornbeampaddle.messages import WorkerSummary
 from hornbeampaddle.notices import AttemptEnded, Notice
 from hornbeampaddle.resources import NOTHING
-from hornbeampaddle.slots import Lane, SlotPool
-from hornbeampaddle.wiring import wire_needs
+from hornbeampaddle.slots import SlotGroup, SlotPool
+from hornbeampaddle.wire_conversion import wire_needs
 
 from .context import Context
 from .mail import WorkerAnswer, WorkerMail
@@ -35,7 +35,7 @@
         self._summaries: dict[str, WorkerSummary] = {}
         self._changed: set[str] = set()
         self._released: set[str] = set()
-        # Workers with lanes that wait for batch attempts to leave.
+        # Workers with slot groups that wait for batch attempts to leave.
         self._making_room: set[str] = set()
         self._turn = 0
 
@@ -55,7 +55,7 @@
             if known is None or known.worker.address != worker.address:
                 self._add(worker)
             else:
-                known.relist(worker)
+                known.update_listing(worker)
         for worker_id in list(self.deciders):
             if worker_id not in listed and not self.deciders[worker_id].holding:
                 del self.deciders[worker_id]
@@ -83,7 +83,7 @@
             chosen = self.context.membership.choose(worker_id, live)
             ours = chosen == self.context.settings.instance_id
             if ours and self._may_claim(now_s):
-                notices.extend(self._do(decider, decider.want(now_s)))
+                notices.extend(self._do(decider, decider.claim_if_due(now_s)))
             notices.extend(self._do(decider, decider.tick(now_s)))
             if decider.holding:
                 notices.extend(self._evict(decider, now_s))
@@ -105,7 +105,7 @@
 
     def _evict(self, decider: Decider, now_s: float) -> list[Notice]:
         drained = not self.context.keeps_work(decider.worker)
-        if not drained and not decider.book.overdrawn():
+        if not drained and not decider.allocation_table.is_overcommitted():
             return []
         notices: list[Notice] = []
         for attempt in decider.evictions(drained, now_s):
@@ -178,14 +178,14 @@
 
     def _read_slots(self, decider: Decider) -> None:
         worker_id = decider.worker.worker_id
-        for lane in self.slots.lanes_of(worker_id):
+        for lane in self.slots.slot_groups_of(worker_id):
             in_flight = decider.slots_reported.get(lane.service, 0)
-            lane.reported(in_flight, decider.report_asked_s)
-        if decider.book.blocked or self._has_leaving_lane(worker_id):
+            lane.reported(in_flight, decider.report_requested_s)
+        if decider.allocation_table.blocked or self._has_leaving_lane(worker_id):
             self.open_lanes(decider, claimed=False)
 
     def _has_leaving_lane(self, worker_id: str) -> bool:
-        return any(lane.total == 0 for lane in self.slots.lanes_of(worker_id))
+        return any(lane.total == 0 for lane in self.slots.slot_groups_of(worker_id))
 
     def configure(self) -> None:
         """Follow a change of the configuration or the instance list."""
@@ -193,7 +193,7 @@
             self.open_lanes(decider, claimed=False)
 
     def open_lanes(self, decider: Decider, claimed: bool) -> None:
-        """Make a worker's lanes and reservations match the configuration."""
+        """Make a worker's slot groups and reservations match the configuration."""
         worker_id = decider.worker.worker_id
         usable = self.context.usable(decider.worker)
         services = self.context.configuration.services_on(worker_id)
@@ -201,30 +201,30 @@
         for name, service in wanted.items():
             lane = self._lane(decider, name, claimed)
             lane.resize(service.slots_per_worker, resources_of(service.needs))
-        decider.book.blocked = self._block_unknown(decider, wanted, claimed)
+        decider.allocation_table.blocked = self._block_unknown(decider, wanted, claimed)
         reserved = NOTHING
-        for lane in self.slots.lanes_of(worker_id):
+        for lane in self.slots.slot_groups_of(worker_id):
             if lane.service not in wanted:
                 # Guards against room given twice when a service leaves a worker:
                 # its requests in flight hold it until the last one has ended.
                 lane.open = False
                 lane.total = 0
                 if lane.in_use() == 0:
-                    del self.slots.lanes[(worker_id, lane.service)]
+                    del self.slots.slot_groups[(worker_id, lane.service)]
                     continue
             reserved = reserved + lane.held()
         decider.reserve(reserved)
         self._open_what_fits(decider, wanted, usable)
         self._changed.add(worker_id)
 
-    def _lane(self, decider: Decider, service: str, claimed: bool) -> Lane:
+    def _lane(self, decider: Decider, service: str, claimed: bool) -> SlotGroup:
         worker_id = decider.worker.worker_id
-        lane = self.slots.lanes.get((worker_id, service))
+        lane = self.slots.slot_groups.get((worker_id, service))
         if lane is None:
-            lane = Lane(worker_id, service, 0, decider.epoch, open=False)
+            lane = SlotGroup(worker_id, service, 0, decider.epoch, open=False)
             if claimed:
-                lane.foreign = decider.slots_reported.get(service, 0)
-            self.slots.lanes[(worker_id, service)] = lane
+                lane.unaccounted = decider.slots_reported.get(service, 0)
+            self.slots.slot_groups[(worker_id, service)] = lane
         return lane
 
     def _block_unknown(
@@ -244,7 +244,7 @@
                 lane = self._lane(decider, service, claimed)
                 lane.resize(0, resources_of(known.needs))
             lane_key = (decider.worker.worker_id, service)
-            unknown = unknown or lane_key not in self.slots.lanes
+            unknown = unknown or lane_key not in self.slots.slot_groups
         return unknown
 
     def _open_what_fits(
@@ -252,12 +252,17 @@
     ) -> None:
         # Guards against a worker overrun by a new service: its slots open only
         # once the batch attempts in its room are known to be over.
-        fits = not decider.book.overdrawn() and not decider.book.blocked
+        fits = (
+            not decider.allocation_table.is_overcommitted()
+            and not decider.allocation_table.blocked
+        )
         # Guards against a worker that shrank below its slots and is overrun by them:
         # no attempt can make room there, so they close until the room is back.
-        slots_fit = decider.book.reserved.fits_in(decider.book.capacity)
+        slots_fit = decider.allocation_table.reserved.fits_in(
+            decider.allocation_table.capacity
+        )
         for name in wanted:
-            lane = self.slots.lanes[(decider.worker.worker_id, name)]
+            lane = self.slots.slot_groups[(decider.worker.worker_id, name)]
             lane.open = usable and slots_fit and (lane.open or fits)
         if usable and not fits:
             self._making_room.add(decider.worker.worker_id)
@@ -315,10 +320,10 @@
 
     def _summary(self, decider: Decider) -> WorkerSummary:
         worker_id = decider.worker.worker_id
-        lanes = self.slots.lanes_of(worker_id)
-        free_slots = {lane.service: lane.free() for lane in lanes}
+        slot_groups = self.slots.slot_groups_of(worker_id)
+        free_slots = {lane.service: lane.free() for lane in slot_groups}
         usable = self.context.usable(decider.worker)
-        room = wire_needs(decider.book.open_room())
+        room = wire_needs(decider.allocation_table.batch_room())
         return WorkerSummary(worker_id, decider.epoch, room, usable, free_slots)
 
     def take_released(self) -> tuple[str, ...]:
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/jobkeeper.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/jobkeeper.py
@@ -26,9 +26,9 @@
     PlaceRefused,
 )
 from hornbeampaddle.notices import Notice
-from hornbeampaddle.owner import Owner, Work
+from hornbeampaddle.owner import Owner, OwnerActions
 from hornbeampaddle.owners import Authority
-from hornbeampaddle.placement import NeverFits, Rooms, never_fits
+from hornbeampaddle.placement import CapacityView, NeverFits, never_fits
 from hornbeampaddle.records import (
     HomeRecord,
     JobAccepted,
@@ -41,7 +41,7 @@
     TasksEnded,
 )
 from hornbeampaddle.resources import Resources
-from hornbeampaddle.wiring import wire_order
+from hornbeampaddle.wire_conversion import wire_order
 
 from .context import Context
 from .mail import CancelMail, JobAnswer, JobMail, StreamMail
@@ -58,7 +58,7 @@
     def __init__(
         self,
         context: Context,
-        rooms: Rooms,
+        rooms: CapacityView,
         link: StreamLink,
         run_here: Callable[[Command], None],
     ) -> None:
@@ -195,7 +195,7 @@
             return
         middle = (mail.oldest_offset + mail.next_offset) // 2
         live = self.context.membership.live(now_s)
-        for job in self.table.to_tell_again(middle):
+        for job in self.table.due_for_snapshot(middle):
             if self.context.membership.choose(job.spec.job_id, live) == self._me():
                 self.link.append(_snapshot_of(job))
 
@@ -263,7 +263,7 @@
         promises_s = [member.promised_until_s for member in members]
         return self.authority.until_s(promises_s, self.context.now_s())
 
-    def _do(self, work: Work) -> None:
+    def _do(self, work: OwnerActions) -> None:
         self._ended.update(work.ended)
         self._advanced.update(work.advanced)
         self._setbacks.update(work.setbacks)
@@ -287,7 +287,7 @@
                 member = self.context.membership.members.get(decider)
                 if member is None or not member.clock.known:
                     return None
-                valid_s = member.clock.deadline_there(command.valid_until_s)
+                valid_s = member.clock.remote_deadline_before(command.valid_until_s)
                 return PlaceOrder(wire_order(command.order), command.worker_id, valid_s)
             case Adopt():
                 attempt = str(command.attempt)
@@ -384,7 +384,7 @@
 
 def _snapshot_of(job: Job) -> JobSnapshot:
     return JobSnapshot(
-        record_id=f"told/{job.spec.job_id}/{job.told_at}",
+        record_id=f"told/{job.spec.job_id}/{job.full_record_offset}",
         spec=job.spec,
         owner=job.owner,
         term=job.term,
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/loans.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/loans.py
@@ -5,7 +5,7 @@
 
 from hornbeampaddle.identity import instance_of
 from hornbeampaddle.messages import BorrowSlots, LendSlots, ReturnSlots
-from hornbeampaddle.slots import Borrowed, Return, SlotPool
+from hornbeampaddle.slots import BorrowedSlots, SlotPool, SlotReturn
 
 from .context import Context
 
@@ -65,7 +65,7 @@
             self.context.send(peer, refusal)
             return
         lane, loan = lent
-        there_s = member.clock.deadline_there(deadline_s)
+        there_s = member.clock.remote_deadline_before(deadline_s)
         lend = LendSlots(
             loan.grant_id, lane.service, lane.worker_id, lane.epoch, loan.count, there_s
         )
@@ -80,7 +80,7 @@
                 slots.pop(message.service, None)
             self.pump(message.service, now_s)
             return
-        self.slots.borrowed[message.grant_id] = Borrowed(
+        self.slots.borrowed[message.grant_id] = BorrowedSlots(
             message.grant_id,
             peer,
             message.worker_id,
@@ -93,7 +93,7 @@
 
     def on_return(self, message: ReturnSlots, now_s: float) -> None:
         """Take lent slots back."""
-        lane = self.slots.lanes.get((message.worker_id, message.service))
+        lane = self.slots.slot_groups.get((message.worker_id, message.service))
         if lane is not None:
             lane.give_back(message.grant_id, message.count)
             self.pump(message.service, now_s)
@@ -103,7 +103,7 @@
         for returned in self.slots.give_back_idle(now_s):
             self.give_back(returned)
 
-    def give_back(self, returned: Return) -> None:
+    def give_back(self, returned: SlotReturn) -> None:
         """Tell a lender that its slots are free again."""
         message = ReturnSlots(
             returned.grant_id, returned.worker_id, returned.service, returned.count
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/operators.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/operators.py
@@ -8,7 +8,7 @@
 import msgspec
 
 from hornbeampaddle.intents import Intent
-from hornbeampaddle.jobs import TaskState, job_of
+from hornbeampaddle.jobs import TaskState, job_id_of
 from hornbeampaddle.plans import Plan
 from hornbeampaddle.records import Needs
 from hornbeampaddle.resources import Resources
@@ -181,7 +181,9 @@
                     "evacuated": worker.data_centre in evacuations,
                     "decider": room.decider if room else "",
                     "epoch": decider.epoch if decider and held else 0,
-                    "attempts": len(decider.book.holds) if decider and held else None,
+                    "attempts": len(decider.allocation_table.allocations)
+                    if decider and held
+                    else None,
                     "free": _needs(room.free) if room else None,
                     "sick": worker.worker_id in sick,
                 }
@@ -208,7 +210,7 @@
         table = self.control.jobs.table
         found = table.find(task_id)
         if found is None:
-            job = table.jobs.get(job_of(task_id))
+            job = table.jobs.get(job_id_of(task_id))
             if table.is_finished(task_id):
                 return _json({"task_id": task_id, "why": "its whole job is over"})
             if job is None:
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/peering.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/peering.py
@@ -11,7 +11,7 @@
 from hornbeampaddle.messages import ConfigBatch, Heartbeat
 from hornbeampaddle.records import ConfigChange, ConfigRecord, ConfigSnapshot
 from hornbeampaddle.resources import Resources
-from hornbeampaddle.wiring import needs_of
+from hornbeampaddle.wire_conversion import needs_of
 
 from .context import Context
 from .fleet import Fleet
@@ -33,7 +33,7 @@
         self.fleet = fleet
         self.jobs = jobs
         self.beats = 0
-        # Free slots of each peer's lanes, by peer, worker and service.
+        # Free slots of each peer's slot groups, by peer, worker and service.
         self.peer_slots: dict[str, dict[str, dict[str, int]]] = {}
         self.records: deque[tuple[int, ConfigRecord]] = deque(maxlen=RECORDS_KEPT)
         for peer in context.settings.peers:
@@ -57,7 +57,9 @@
                 log_reachable=log_reachable,
                 config_offset=self.context.configuration.offset,
                 home_offset=self.jobs.table.offset,
-                authority_until_s=clock.deadline_there(until_s) if clock.known else 0.0,
+                authority_until_s=clock.remote_deadline_before(until_s)
+                if clock.known
+                else 0.0,
                 promise_until_s=self._promise(member, now_s),
                 disowned=disowned,
                 workers=summaries,
@@ -68,7 +70,9 @@
     def _promise(self, member: Member, now_s: float) -> float:
         if not member.clock.known or not self.jobs.promises(member.owner):
             return 0.0
-        return member.clock.deadline_there(now_s + self.context.timing.authority_s)
+        return member.clock.remote_deadline_before(
+            now_s + self.context.timing.authority_s
+        )
 
     def heard(self, sender: str, beat: Heartbeat, now_s: float) -> None:
         """Take in a peer's heartbeat."""
@@ -133,7 +137,7 @@
         me = self.context.settings.instance_id
         for decider in self.fleet.held():
             open_ = self.context.usable(decider.worker) and not self.context.leaving
-            room = decider.book.open_room()
+            room = decider.allocation_table.batch_room()
             self._room_heard(decider.worker, me, decider.epoch, room, open_, now_s)
 
     def _room_heard(
@@ -161,7 +165,7 @@
             )
             if lost:
                 room.open = False
-                self.jobs.owner.uncovered(worker_id, now_s)
+                self.jobs.owner.decider_lost(worker_id, now_s)
 
     def remember(self, offset: int, record: ConfigRecord) -> None:
         """Keep a record for peers that lag."""
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/planner.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/planner.py
@@ -12,9 +12,15 @@
 from hornbeampaddle.identity import instance_of
 from hornbeampaddle.intents import AddJob
 from hornbeampaddle.messages import AskInventory, Inventory, WorkerInventory
-from hornbeampaddle.plans import Plan, World, make_plan, record_of, worse_than
+from hornbeampaddle.plans import (
+    Plan,
+    PlanInputs,
+    added_disruptions,
+    make_plan,
+    record_of,
+)
 from hornbeampaddle.records import ConfigRecord
-from hornbeampaddle.wiring import order_of, wire_order
+from hornbeampaddle.wire_conversion import order_of, wire_order
 
 from .context import Context
 from .fleet import Fleet
@@ -147,29 +153,29 @@
         for name in gathering.silent:
             self.context.send(name, AskInventory(call_id))
 
-    def _world(self, gathering: "_Gathering") -> World:
+    def _world(self, gathering: "_Gathering") -> PlanInputs:
         free = {}
         for decider in self.fleet.held():
             worker_id = decider.worker.worker_id
             orders = [hold.order for hold in decider.inventory()]
             gathering.learn(worker_id, decider.epoch, orders)
-            free[worker_id] = decider.book.room()
+            free[worker_id] = decider.allocation_table.room()
         for worker_id, room in self.jobs.rooms.rooms.items():
             free.setdefault(worker_id, room.free)
         workers = list(self.context.workers.values())
         silent = tuple(sorted(gathering.silent))
-        return World(
+        return PlanInputs(
             self.context.configuration, workers, gathering.running, free, silent
         )
 
-    def _answer(self, mail: PlanMail, world: World) -> None:
+    def _answer(self, mail: PlanMail, world: PlanInputs) -> None:
         match make_plan(mail.intent, world):
             case Ok(plan):
                 mail.done.set_result(PlanAnswer(plan))
             case Err(error):
                 mail.done.set_result(PlanAnswer(None, error))
 
-    def _confirm(self, mail: ConfirmMail, world: World) -> None:
+    def _confirm(self, mail: ConfirmMail, world: PlanInputs) -> None:
         refusal = self._refusal(mail.plan, world)
         if refusal:
             mail.done.set_result(ConfirmAnswer(False, refusal))
@@ -181,7 +187,7 @@
         if not self.link.append(record_of(mail.plan, mail.operator)):
             self._tell(mail.plan.plan_id, ConfirmAnswer(False, "log_unavailable"))
 
-    def _refusal(self, plan: Plan, world: World) -> str:
+    def _refusal(self, plan: Plan, world: PlanInputs) -> str:
         if plan.refused():
             return "the plan refuses what was intended; there is nothing to confirm"
         for name, seen in plan.based_on.items():
@@ -195,7 +201,7 @@
             case Ok(again):
                 if again.changes != plan.changes:
                     return "the plan would now change other things; make a new plan"
-                worse = worse_than(plan, again)
+                worse = added_disruptions(plan, again)
                 if worse:
                     subjects = ", ".join(effect.subject for effect in worse[:5])
                     return f"it would now also stop {subjects}; make a new plan"
--- a/packages/hornbeampaddle/hornbeampaddle/__init__.py
+++ b/packages/hornbeampaddle/hornbeampaddle/__init__.py
@@ -1,8 +1,9 @@
 """
-Decide where work runs, without sockets and without a clock of its own.
+Decide where work runs, without performing I/O or reading a clock.
 
-Every part takes messages and the time as arguments and returns messages and
-effects, so that others can embed it and tests can drive it in virtual time.
+Every module takes messages and the current time as arguments and returns messages
+and effects, so that it can be embedded in other programs and tested in virtual
+time.
 """
 
 __version__ = "0.1.0"
--- a/packages/hornbeampaddle/hornbeampaddle/calls.py
+++ b/packages/hornbeampaddle/hornbeampaddle/calls.py
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StopAttempt:
-    """End an attempt, with a checkpoint first if ``checkpoint`` is set."""
+    """Stop an attempt, after a checkpoint if ``checkpoint`` is set."""
 
     worker_id: str
     epoch: int
@@ -36,7 +36,7 @@
 @dataclass(frozen=True, slots=True)
 class RenewLeases:
     """
-    Extend the leases of ``attempts`` and ask for a report.
+    Extend the leases of ``attempts`` and request a report.
 
     ``acknowledged`` lists ended attempts that the worker may forget.
     """
--- a/packages/hornbeampaddle/hornbeampaddle/cell/scheduler.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/scheduler.py
@@ -339,7 +339,7 @@
             return worker.granted_deadline_s
         over_at_s = now_s + self._lease_bound_s() + self.settings.answer_timeout_s
         worker.lease_over_at_s = max(worker.lease_over_at_s, over_at_s)
-        worker.granted_deadline_s = worker.clock.deadline_there(
+        worker.granted_deadline_s = worker.clock.remote_deadline_before(
             now_s + self.settings.lease_s
         )
         return worker.granted_deadline_s
--- a/packages/hornbeampaddle/hornbeampaddle/commands.py
+++ b/packages/hornbeampaddle/hornbeampaddle/commands.py
@@ -1,4 +1,4 @@
-"""Define what an owner of jobs asks of the deciders."""
+"""Define the commands that an owner of jobs sends to deciders."""
 
 from dataclasses import dataclass
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Ask a worker's decider to start an attempt, while our authority lasts."""
+    """Ask a worker's decider to start an attempt while our authority lasts."""
 
     order: TaskOrder
     worker_id: str
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Adopt:
-    """Tell a worker's decider that its attempt is known and wanted."""
+    """Tell a worker's decider that an attempt is known and should continue."""
 
     attempt: AttemptId
     worker_id: str
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledge:
-    """Tell a worker's decider that an attempt's end has been taken in."""
+    """Tell a worker's decider that an attempt's end has been processed."""
 
     attempt: AttemptId
     worker_id: str
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ask:
-    """Ask a worker's decider what became of an attempt."""
+    """Ask a worker's decider for the state of an attempt."""
 
     order: TaskOrder
     worker_id: str
--- a/packages/hornbeampaddle/hornbeampaddle/configuration.py
+++ b/packages/hornbeampaddle/hornbeampaddle/configuration.py
@@ -1,8 +1,8 @@
 """
-Apply the configuration stream in offset order, and never go back.
+Apply the configuration stream in offset order, without ever reverting.
 
 Every instance applies the same records in the same order and reaches the same
-verdict on each, so the offset alone says which configuration is in force.
+verdict on each, so the offset alone identifies the configuration in force.
 """
 
 from dataclasses import dataclass, field
@@ -25,11 +25,11 @@
 from .resources import NOTHING, Resources
 
 UNKNOWN_OFFSET = -1
-APPLIED_IDS_KEPT = 10_000
+APPLIED_RECORD_IDS_MAX = 10_000
 
 
 class Repeat(Enum):
-    """What a service allows when a request may already have run."""
+    """How a service allows a request to be repeated that may already have run."""
 
     IDEMPOTENT = "idempotent"
     EXCLUSIVE = "exclusive"
@@ -70,7 +70,7 @@
 
 
 def object_of(change: Change) -> str:
-    """Return the name of the object that a change writes."""
+    """Return the name of the versioned object that a change writes."""
     match change:
         case SetService() | RemoveService() | SetLimit():
             return f"service:{change.service}"
@@ -82,19 +82,19 @@
             return f"quota:{change.team}"
 
 
-def room_of(worker_id: str) -> str:
-    """Return the name of the object that stands for a worker's room."""
+def capacity_object_of(worker_id: str) -> str:
+    """Return the name of the versioned object for a worker's capacity."""
     return f"room:{worker_id}"
 
 
 def resources_of(needs: Needs) -> Resources:
-    """Turn the border model of needs into the inner data class."""
+    """Convert needs from their serialized form into ``Resources``."""
     return Resources(needs.cpu_millis, needs.memory_bytes, needs.accelerators)
 
 
 @dataclass(slots=True)
 class Configuration:
-    """What is in force, and the offset that put it in force."""
+    """The configuration in force, and the stream offset through which it is applied."""
 
     offset: int = UNKNOWN_OFFSET
     services: dict[str, SetService] = field(default_factory=dict)
@@ -106,7 +106,7 @@
 
     @property
     def known(self) -> bool:
-        """Tell whether any point of the stream has been reached."""
+        """Tell whether any record or snapshot has been applied."""
         return self.offset != UNKNOWN_OFFSET
 
     def version(self, name: str) -> int:
@@ -116,20 +116,20 @@
     def apply(self, offset: int, record: ConfigRecord) -> Verdict:
         """Apply one record read from the stream at ``offset``."""
         # Guards against a configuration that reverts: a lagging peer or a
-        # repeated read delivers old records again, which shows as a service or
-        # drain flipping back. Offsets only grow, so an old one is never newer.
+        # repeated read delivers old records again, and a service or drain would
+        # flip back. Offsets only increase, so a record at a lower one is older.
         if offset <= self.offset:
             return Stale(offset)
         self.offset = offset
         match record:
             case ConfigSnapshot():
-                # Whoever reads it here has applied all that it sums up.
+                # A reader at this offset has already applied all that it contains.
                 return Applied(offset)
             case ConfigChange():
-                return self._change(offset, record)
+                return self._apply_change(offset, record)
 
-    def _change(self, offset: int, record: ConfigChange) -> Verdict:
-        # Guards against a doubled change: the answer of an append was lost and
+    def _apply_change(self, offset: int, record: ConfigChange) -> Verdict:
+        # Guards against a duplicate change: the answer to an append was lost and
         # the writer appended the same record again.
         if record.record_id in self.applied:
             return Void(offset, "repeated record")
@@ -137,19 +137,19 @@
             if self.version(name) != seen:
                 return Void(offset, f"{name} changed at offset {self.version(name)}")
         for change in record.changes:
-            for name in self._rooms_of(change):
+            for name in self._capacity_objects_of(change):
                 self.versions[name] = offset
             self._write(change)
             self.versions[object_of(change)] = offset
         self.applied[record.record_id] = offset
-        if len(self.applied) > APPLIED_IDS_KEPT:
+        if len(self.applied) > APPLIED_RECORD_IDS_MAX:
             self.applied.pop(next(iter(self.applied)))
         return Applied(offset)
 
-    def _rooms_of(self, change: Change) -> set[str]:
-        # Guards against two plans that reserve the same room: each was computed
-        # without the other and writes another service, so only an object of the
-        # worker itself, which both read and both write, lets one of them win.
+    def _capacity_objects_of(self, change: Change) -> set[str]:
+        # Guards against two plans that reserve the same capacity: each is computed
+        # without the other and writes a different service, so their conflict shows
+        # only in an object for the worker itself, which both read and write.
         match change:
             case SetService():
                 old = self.services.get(change.service)
@@ -159,7 +159,7 @@
                 workers = set(old.placement if old else ())
             case _:
                 workers = set()
-        return {room_of(worker_id) for worker_id in workers}
+        return {capacity_object_of(worker_id) for worker_id in workers}
 
     def _write(self, change: Change) -> None:
         match change:
@@ -178,9 +178,9 @@
             case SetQuota():
                 self.quotas[change.team] = change
             case SetLimit():
-                self._limit(change)
+                self._apply_limit(change)
 
-    def _limit(self, change: SetLimit) -> None:
+    def _apply_limit(self, change: SetLimit) -> None:
         old = self.services.get(change.service)
         if old is None:
             return
@@ -196,9 +196,9 @@
 
     def restore(self, snapshot: ConfigSnapshot) -> Verdict:
         """
-        Take over a whole configuration, if it is newer than the one in force.
+        Replace the configuration by a snapshot, if it is newer than the one in force.
 
-        Records after ``snapshot.through_offset`` are to be applied next.
+        Records after ``snapshot.through_offset`` must be applied next.
         """
         if snapshot.through_offset <= self.offset:
             return Stale(snapshot.through_offset)
@@ -225,7 +225,7 @@
         )
 
     def is_draining(self, worker: Worker) -> bool:
-        """Tell whether the worker, its rack or its data centre is drained."""
+        """Tell whether the worker, its rack or its data centre is being drained."""
         if not self.drains:
             return False
         zones = (
@@ -241,11 +241,11 @@
         return not evacuated and not self.is_draining(worker)
 
     def services_on(self, worker_id: str) -> list[SetService]:
-        """Return the services that have room reserved on a worker."""
+        """Return the services that have capacity reserved on a worker."""
         return [s for s in self.services.values() if worker_id in s.placement]
 
     def reserved_on(self, worker_id: str) -> Resources:
-        """Return what the services on a worker hold back for their slots."""
+        """Return the capacity that the services on a worker reserve for their slots."""
         total = NOTHING
         for service in self.services_on(worker_id):
             total = total + resources_of(service.needs).times(service.slots_per_worker)
--- a/packages/hornbeampaddle/hornbeampaddle/contracts.py
+++ b/packages/hornbeampaddle/hornbeampaddle/contracts.py
@@ -1,4 +1,4 @@
-"""Describe what a worker promises: tasks under leases and slots under grants."""
+"""Define the worker's contract: its orders, reports and answers to calls."""
 
 from dataclasses import dataclass, field
 from enum import Enum
@@ -8,7 +8,7 @@
 
 
 class Ending(Enum):
-    """How an attempt ended, as certain knowledge."""
+    """How an attempt ended; used only where the end is certain."""
 
     DONE = "done"
     FAILED = "failed"
@@ -16,12 +16,12 @@
     CANCELLED = "cancelled"
     LAPSED = "lapsed"
     NEVER_STARTED = "never_started"
-    # Never started either; the worker's decider makes room for the next try.
+    # Never started either; the worker's decider is preempting other attempts for it.
     ROOM_COMING = "room_coming"
 
 
 class RunState(Enum):
-    """What a worker says of an attempt it knows."""
+    """The state of an attempt as reported by its worker."""
 
     RUNNING = "running"
     THROTTLED = "throttled"
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class TaskOrder:
-    """All that a worker needs to run one attempt of a task."""
+    """Everything that a worker needs to run one attempt of a task."""
 
     attempt: AttemptId
     owner: str
@@ -47,7 +47,7 @@
 @dataclass(frozen=True, slots=True)
 class Attempt:
     """
-    One attempt as a worker's inventory lists it.
+    One attempt as listed in a worker's inventory.
 
     ``lease_deadline_s`` is on the worker's clock. ``ending`` is None while the
     attempt runs. A worker lists an ended attempt until it is acknowledged.
@@ -66,10 +66,11 @@
     """
     A worker's answer to a claim or a renewal.
 
-    ``clock_s`` is the worker's clock when it answered. ``slots_used`` counts
-    requests in flight by service. A claim's answer lists every attempt. A
-    renewal's is a ``delta``: an attempt that the renewal named and that goes on
-    is not listed, one that it named and that is not there is in ``absent``.
+    ``clock_s`` is the worker's clock when it answered. ``slots_used`` is the
+    number of requests in flight by service. The answer to a claim lists every
+    attempt. The answer to a renewal is a ``delta``: of the attempts named in the
+    renewal, those that still run are omitted and those that the worker doesn't
+    have are in ``absent``.
     """
 
     worker_id: str
@@ -85,7 +86,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Fenced:
-    """The worker refused: a later epoch has been handed to another decider."""
+    """The worker refused the call: another decider holds a later epoch."""
 
     epoch: int
     decider: str
@@ -93,21 +94,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The worker refused for a reason of its own; nothing was started."""
+    """The call was refused for another reason; nothing was started."""
 
     reason: str
 
 
 @dataclass(frozen=True, slots=True)
 class Started:
-    """The worker runs the attempt (or ran it: the start is idempotent)."""
+    """The worker runs the attempt, or has run it, as a start is idempotent."""
 
     clock_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Stopped:
-    """The attempt is over and can never start again."""
+    """The attempt has ended and can never start again."""
 
     clock_s: float
     ending: Ending
@@ -123,6 +124,6 @@
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
-    """The call certainly had no effect: no byte of it left this process."""
+    """The call certainly had no effect: no byte of it was sent."""
 
     detail: str
--- a/packages/hornbeampaddle/hornbeampaddle/defaults.py
+++ b/packages/hornbeampaddle/hornbeampaddle/defaults.py
@@ -1,9 +1,9 @@
 """
-Hold every default of the product in one place.
+Define the default timing and limits.
 
-The daemon's settings override these values; nothing else in the code repeats
-them. Durations here are policy inputs: whatever is stored at run time is a
-deadline computed from them.
+The daemon's settings override these values, which aren't repeated anywhere else
+in the code. Durations are inputs only: the state at run time consists of deadlines
+computed from them.
 """
 
 from dataclasses import dataclass
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Timing:
-    """Intervals and bounds that the coordination parts share, in seconds."""
+    """Intervals and time-outs shared by the coordination modules, in seconds."""
 
     heartbeat_interval_s: float = 0.75
     suspect_after_s: float = 2.0
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds on what one entry instance holds or accepts."""
+    """Limits on what one entry instance stores or accepts."""
 
     header_bytes: int = 16 * 1024
     body_bytes: int = 4 * MIB
@@ -49,6 +49,6 @@
     unsent_log_records: int = 5_000
     config_snapshot_records: int = 500
     task_failures_max: int = 3
-    # Attempts in a row that are lost with their workers soon after their starts: a
-    # worker that is lost by chance takes a task with it once or twice.
+    # Consecutive attempts that are lost with their workers soon after their start;
+    # workers that are lost for other reasons affect the same task once or twice.
     task_losses_max: int = 4
--- a/packages/hornbeampaddle/hornbeampaddle/intents.py
+++ b/packages/hornbeampaddle/hornbeampaddle/intents.py
@@ -1,4 +1,4 @@
-"""Define what operators can intend."""
+"""Define the intents that operators can submit for planning."""
 
 from msgspec import Struct
 
@@ -24,7 +24,7 @@
 
 
 class Drain(Struct, frozen=True, tag=True, forbid_unknown_fields=True):
-    """Empty a worker, a rack or a data centre, or let it fill again."""
+    """Drain a worker, a rack or a data centre, or end its drain."""
 
     zone: str
     name: Name
@@ -32,28 +32,28 @@
 
 
 class Evacuate(Struct, frozen=True, tag=True, forbid_unknown_fields=True):
-    """Let nothing new start in a data centre, or take it back."""
+    """Start or end the evacuation of a data centre, where no new work starts."""
 
     data_centre: Name
     evacuated: bool = True
 
 
 class ChangeQuota(Struct, frozen=True, tag=True, forbid_unknown_fields=True):
-    """Limit what the batch tasks of a team hold at once."""
+    """Limit the total resources of a team's running batch tasks."""
 
     team: Name
     needs: Needs
 
 
 class ChangeLimit(Struct, frozen=True, tag=True, forbid_unknown_fields=True):
-    """Limit a service's requests in flight."""
+    """Limit the number of a service's requests in flight."""
 
     service: Name
     in_flight_max: int
 
 
 class AddJob(Struct, frozen=True, tag=True, forbid_unknown_fields=True):
-    """Submit a job by way of a plan."""
+    """Submit a job through a plan."""
 
     spec: JobSpec
 
--- a/packages/hornbeampaddle/hornbeampaddle/jobs.py
+++ b/packages/hornbeampaddle/hornbeampaddle/jobs.py
@@ -1,10 +1,10 @@
 """
-Own jobs: start each task's attempts one after the other, never two at once.
+Track jobs and tasks, so that a task's attempts run one at a time.
 
-All instances of a data centre read its home stream and know its jobs. Only the
-owner starts attempts. Its next attempt of a task starts when the last one is
-known to be over: the worker said so under a current epoch, or the owner stopped
-wanting it and every lease it could have has run out.
+All instances of a data centre read its home stream and know its jobs, but only a
+job's owner starts attempts. The next attempt of a task starts once the previous one
+is known to be over: the worker reported its end under a current epoch, or the owner
+gave the attempt up and every lease that it could have has expired.
 """
 
 from collections.abc import Iterable
@@ -28,11 +28,11 @@
 )
 from .takeover import Takeover
 
-FINISHED_KEPT = 50_000
+FINISHED_JOBS_MAX = 50_000
 
 
 class TaskState(Enum):
-    """Where a task stands, as its owner knows it."""
+    """The state of a task, as known to its owner."""
 
     PENDING = "pending"
     PLACED = "placed"
@@ -55,12 +55,12 @@
 @dataclass(slots=True)
 class Task:
     """
-    One task of a job this instance owns.
+    One task of a job that this instance owns.
 
-    ``gone_s`` is the local time since which the last attempt is known to be gone
-    with its end unknown. In state DOUBT, ``over_by_s`` is the local time by which
-    the last attempt is certainly over even if nobody can be asked. In state
-    INHERITED, ``takeover`` says when that is certain.
+    ``gone_s`` is the local time since when the last attempt is known to have
+    disappeared without a known end. In state DOUBT, ``over_by_s`` is the local time by
+    which the last attempt is certainly over even if its worker and decider are
+    unreachable. In state INHERITED, ``takeover`` determines when that is certain.
     """
 
     task_id: str
@@ -69,21 +69,22 @@
     number: int = 0
     worker_id: str = ""
     generation: int = 0
-    # Attempts that failed, and those in a row that were lost with their workers, as
-    # (term, number): one that is told again, to this owner or the next, counts once.
+    # Failed attempts, and consecutive attempts that were lost with their workers, as
+    # (term, number), so that an attempt that is reported again, to this owner or the
+    # next, counts once.
     failed: list[tuple[int, int]] = field(default_factory=list)
     lost: list[tuple[int, int]] = field(default_factory=list)
-    # Since when the last attempt is known to run.
+    # Local time since when the last attempt is known to run.
     running_s: float | None = None
     failed_on: set[str] = field(default_factory=set)
     over_by_s: float = 0.0
     asked_s: float = 0.0
     end: TaskEnd | None = None
     not_before_s: float = 0.0
-    # The worker that makes room for the next attempt.
-    expected_on: str = ""
+    # Id of the worker that is preempting other attempts for the next attempt.
+    preempting_worker_id: str = ""
     takeover: Takeover | None = None
-    # When the last attempt was found to be gone without saying how it ended.
+    # Local time at which the last attempt was found to be gone, its end unknown.
     gone_s: float | None = None
 
     def attempt(self) -> AttemptId:
@@ -91,7 +92,7 @@
         return AttemptId(self.task_id, self.term, self.number)
 
     def setbacks(self) -> Setbacks:
-        """Return what counts against the task's limits."""
+        """Return the failures and losses that count against the task's limits."""
         return Setbacks(list(self.failed), list(self.lost))
 
 
@@ -102,8 +103,8 @@
     spec: JobSpec
     owner: str
     term: int
-    # Offset of the last record that tells all of the job.
-    told_at: int = -1
+    # Offset of the latest record that contains the job's full state.
+    full_record_offset: int = -1
     ended: dict[str, TaskEnd] = field(default_factory=dict)
     advanced: dict[str, tuple[int, int]] = field(default_factory=dict)
     setbacks: dict[str, Setbacks] = field(default_factory=dict)
@@ -115,19 +116,19 @@
         return (f"{self.spec.job_id}/{i}" for i in range(self.spec.tasks))
 
     @property
-    def over(self) -> bool:
+    def all_ended(self) -> bool:
         """Tell whether every task has its final result."""
         return len(self.ended) == self.spec.tasks
 
 
-def job_of(task_id: str) -> str:
+def job_id_of(task_id: str) -> str:
     """Return the id of the job that a task belongs to."""
     return task_id.rpartition("/")[0]
 
 
 @dataclass(frozen=True, slots=True)
 class FinishedJob:
-    """What is remembered of a job whose tasks have all ended."""
+    """The summary that is kept of a job whose tasks have all ended."""
 
     spec: JobSpec
     owner: str
@@ -137,10 +138,10 @@
 @dataclass(slots=True)
 class JobTable:
     """
-    All jobs of one data centre, as its home stream tells them.
+    All jobs of one data centre, built from its home stream.
 
-    Finished jobs shrink to what answers a caller and keeps a job id from being
-    accepted twice; the oldest of them are forgotten.
+    A finished job is reduced to a summary, which answers status requests and keeps
+    its job id from being accepted twice. The oldest summaries are dropped.
     """
 
     owner: str
@@ -148,11 +149,11 @@
     jobs: dict[str, Job] = field(default_factory=dict)
     finished: dict[str, FinishedJob] = field(default_factory=dict)
     offset: int = -1
-    # Owners whose succession the stream has shown; peers may know it earlier.
+    # Owners whose succession has been read from the stream; peers may know earlier.
     _succeeded: set[str] = field(default_factory=set)
 
     def apply(self, offset: int, record: HomeRecord) -> list[Job]:
-        """Apply one record; return the jobs that this instance now owns newly."""
+        """Apply one record; return the jobs that this instance newly owns."""
         if offset <= self.offset:
             return []
         self.offset = offset
@@ -174,8 +175,8 @@
         return []
 
     def _accept(self, offset: int, record: JobAccepted) -> list[Job]:
-        # The first record of a job id wins: a second is a repeat, or a race
-        # between two instances that were asked to accept the same job.
+        # The first record of a job id wins: a second one is a repeated append, or
+        # comes from another instance that was asked to accept the same job.
         if self.knows(record.spec.job_id):
             return []
         owner = self.owners.current(record.owner)
@@ -191,9 +192,9 @@
         if job is None:
             job = Job(record.spec, record.owner, record.term)
             self.jobs[job_id] = job
-        job.told_at = offset
-        # Guards against an old owner that is taken for the present one: the
-        # record of its succession may have expired, the greater term has not.
+        job.full_record_offset = offset
+        # Guards against taking a former owner for the current one: the record of
+        # its succession may have expired, but the greater term is still known.
         if record.term > job.term or job.owner == record.owner:
             job.owner, job.term = self.owners.current(record.owner), record.term
         job.cancelled = job.cancelled or record.cancelled
@@ -211,21 +212,21 @@
 
     def is_finished(self, task_id: str) -> bool:
         """Tell whether a task belongs to a finished job."""
-        return job_of(task_id) in self.finished
+        return job_id_of(task_id) in self.finished
 
-    def shrink(self, job: Job) -> None:
-        """Keep of a finished job only what is still asked for."""
+    def compact(self, job: Job) -> None:
+        """Replace a finished job by its summary."""
         ends: dict[str, int] = {}
         for end in job.ended.values():
             ends[end.value] = ends.get(end.value, 0) + 1
         del self.jobs[job.spec.job_id]
         self.finished[job.spec.job_id] = FinishedJob(job.spec, job.owner, ends)
-        if len(self.finished) > FINISHED_KEPT:
+        if len(self.finished) > FINISHED_JOBS_MAX:
             self.finished.pop(next(iter(self.finished)))
 
-    def to_tell_again(self, before: int) -> list[Job]:
-        """Return the live jobs whose last whole record is before an offset."""
-        return [job for job in self.jobs.values() if job.told_at < before]
+    def due_for_snapshot(self, before: int) -> list[Job]:
+        """Return the live jobs whose latest full record is before an offset."""
+        return [job for job in self.jobs.values() if job.full_record_offset < before]
 
     def _adopt(self, job: Job, inherited: bool) -> list[Job]:
         if job.owner != self.owner:
@@ -246,9 +247,9 @@
     def _succeed(self, offset: int, record: Succession) -> list[Job]:
         if record.dead_owner in self._succeeded:
             return []
-        # Guards against two owners that succeed each other: one was cut off and
-        # its record came late, after it had been succeeded itself. Whoever is
-        # succeeded can take over nothing more, so chains never close.
+        # Guards against two owners that succeed each other: one was partitioned
+        # and its record was appended after it had been succeeded itself. An owner
+        # that was succeeded can't take over anything, so there are no cycles.
         if record.successor in self._succeeded:
             return []
         self._succeeded.add(record.dead_owner)
@@ -265,7 +266,7 @@
 
     def _end(self, record: TasksEnded) -> None:
         for task_id, end in record.ended.items():
-            job = self.jobs.get(job_of(task_id))
+            job = self.jobs.get(job_id_of(task_id))
             if job is None:
                 continue
             job.ended.setdefault(task_id, TaskEnd(end))
@@ -273,16 +274,16 @@
             if task is not None:
                 task.state = TaskState.ENDED
                 task.end = job.ended[task_id]
-            if job.over:
-                self.shrink(job)
+            if job.all_ended:
+                self.compact(job)
 
     def _advance(self, record: TasksAdvanced) -> None:
         for task_id, (number, generation) in record.advanced.items():
-            job = self.jobs.get(job_of(task_id))
+            job = self.jobs.get(job_id_of(task_id))
             if job is not None:
                 job.advanced[task_id] = (number, generation)
         for task_id, setbacks in record.setbacks.items():
-            job = self.jobs.get(job_of(task_id))
+            job = self.jobs.get(job_id_of(task_id))
             if job is not None:
                 job.setbacks[task_id] = setbacks
 
@@ -291,18 +292,18 @@
         return [
             job
             for job in self.jobs.values()
-            if job.owner == self.owner and not job.over
+            if job.owner == self.owner and not job.all_ended
         ]
 
     def foreign_owners(self) -> set[str]:
         """Return the other owners of unfinished jobs."""
-        owners = {job.owner for job in self.jobs.values() if not job.over}
+        owners = {job.owner for job in self.jobs.values() if not job.all_ended}
         owners.discard(self.owner)
         return owners
 
     def find(self, task_id: str) -> tuple[Job, Task] | None:
         """Return an owned task and its job."""
-        job = self.jobs.get(job_of(task_id))
+        job = self.jobs.get(job_id_of(task_id))
         if job is None or task_id not in job.tasks:
             return None
         return job, job.tasks[task_id]
@@ -325,8 +326,8 @@
     )
 
 
-def next_state(job: Job, task: Task, ending: Ending) -> TaskEnd | None:
-    """Return the final result that an attempt's end means, or None to go on."""
+def final_result(job: Job, task: Task, ending: Ending) -> TaskEnd | None:
+    """Return the final result that an attempt's end implies, or None to retry."""
     match ending:
         case Ending.DONE:
             return TaskEnd.DONE
--- a/packages/hornbeampaddle/hornbeampaddle/keys.py
+++ b/packages/hornbeampaddle/hornbeampaddle/keys.py
@@ -1,10 +1,11 @@
 """
-Mint request keys and remember what became of them.
+Issue idempotency keys for requests, and remember the outcomes of used keys.
 
-A key names the one incarnation that may run it, its keeper. A repeat that
-reaches another instance is sent to the keeper; if that incarnation is gone,
-nobody else may run the key, so the answer is unknown rather than a second run.
-Issue time and deadline are on the keeper's own clock and read by it alone.
+A key names its keeper: the only incarnation that may run the key's request. A
+repeat that reaches another instance is forwarded to the keeper. If that
+incarnation is gone, no other may run the request, so the outcome is unknown rather
+than a second run. Issue time and deadline are on the keeper's clock, and only the
+keeper evaluates them.
 """
 
 import hmac
@@ -18,10 +19,10 @@
 
 DIGEST = "blake2s"
 TAG_CHARACTERS = 16
-FIELD_MARK = "!"
-FIELDS = 6
+FIELD_SEPARATOR = "!"
+FIELD_COUNT = 6
 TIME_DIGITS_MAX = 15
-ANSWER_BYTES_MAX = 4 * 1024 * 1024
+REMEMBERED_ANSWER_BYTES_MAX = 4 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -36,12 +37,12 @@
     tag: str
 
     def __str__(self) -> str:
-        return FIELD_MARK.join([_body(self), self.tag])
+        return FIELD_SEPARATOR.join([_signed_text(self), self.tag])
 
 
-def _body(key: RequestKey) -> str:
+def _signed_text(key: RequestKey) -> str:
     times = (str(key.issued_ms), str(key.deadline_ms))
-    return FIELD_MARK.join([key.data_centre, key.keeper, *times, key.nonce])
+    return FIELD_SEPARATOR.join([key.data_centre, key.keeper, *times, key.nonce])
 
 
 def _forget_ms(key: RequestKey) -> int:
@@ -52,15 +53,15 @@
     """
     Tell whether a text is a plausible number of milliseconds.
 
-    The length matters: Python refuses to read numbers of thousands of digits.
+    The length is limited because ``int`` raises an error for thousands of digits.
     """
     return text.isascii() and text.isdigit() and len(text) <= TIME_DIGITS_MAX
 
 
 def parse_key(text: str) -> Result[RequestKey, str]:
-    """Read a key's text form; say what is wrong with one that is not a key."""
-    parts = text.split(FIELD_MARK)
-    if len(parts) != FIELDS:
+    """Parse a key's text form, or return an error that tells why it is malformed."""
+    parts = text.split(FIELD_SEPARATOR)
+    if len(parts) != FIELD_COUNT:
         return Err("a request key has six fields; get one from POST /v1/keys")
     data_centre, keeper, issued, deadline, nonce, tag = parts
     if not _is_time(issued):
@@ -73,31 +74,31 @@
 
 @dataclass(frozen=True, slots=True)
 class Fresh:
-    """The key was never used; it is now in progress and may be run."""
+    """The key was unused; it is now in progress and its request may be run."""
 
 
 @dataclass(frozen=True, slots=True)
 class InProgress:
-    """The key is being run now; its answer goes to whoever waits for it."""
+    """The key's request is running; its answer goes to the callers waiting for it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Finished:
-    """The key has its final outcome."""
+    """The key's request has its final outcome."""
 
     outcome: Outcome
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The key cannot be used for this request; nothing was or will be run."""
+    """The key can't be used for this request, of which nothing was or will be run."""
 
     reason: Reason
 
 
 @dataclass(frozen=True, slots=True)
 class Forgotten:
-    """The key is older than the keeper's memory; it may have been run."""
+    """The key is past its retention time; its request may have been run."""
 
 
 Claim = Fresh | InProgress | Finished | Rejected | Forgotten
@@ -112,19 +113,19 @@
 
 @dataclass(slots=True)
 class Keeper:
-    """The memory of the keys that one incarnation minted and saw used."""
+    """The issuer of one incarnation's keys, with the outcomes of those used."""
 
     data_centre: str
     incarnation: str
     remembered_max: int
     secret: bytes = field(default_factory=lambda: secrets.token_bytes(32))
-    answer_bytes_max: int = ANSWER_BYTES_MAX
+    answer_bytes_max: int = REMEMBERED_ANSWER_BYTES_MAX
     _entries: dict[str, _Entry] = field(default_factory=dict)
-    _bodies: deque[str] = field(default_factory=deque)
-    _body_bytes: int = 0
+    _answered_nonces: deque[str] = field(default_factory=deque)
+    _answer_bytes: int = 0
 
     def mint(self, now_s: float, deadline_s: float) -> RequestKey:
-        """Return a new key that may be run until ``deadline_s``."""
+        """Return a new key whose request may be started until ``deadline_s``."""
         nonce = secrets.token_hex(8)
         key = RequestKey(
             self.data_centre,
@@ -140,21 +141,21 @@
         )
 
     def keeps(self, key: RequestKey) -> bool:
-        """Tell whether this incarnation alone may run the key."""
+        """Tell whether this incarnation is the key's keeper."""
         return key.keeper == self.incarnation
 
     def claim(self, key: RequestKey, body_digest: bytes, now_s: float) -> Claim:
-        """Claim a key for a run; only the first claim of a key is ``Fresh``."""
+        """Claim a key to run its request; only the first claim is ``Fresh``."""
         now_ms = int(now_s * 1000)
-        self._forget(now_ms)
+        self._forget_expired(now_ms)
         if not hmac.compare_digest(key.tag, self._tag(key)):
             return Rejected(Reason.KEY_INVALID)
         entry = self._entries.get(key.nonce)
         if entry is not None:
-            return self._known(entry, body_digest)
-        # Guards against a false "not run": a repeat that comes after the entry
-        # was dropped looks like a key never used. Entries of used keys are kept
-        # until ``forget_ms``, so only before it does absence prove anything.
+            return self._claim_used(entry, body_digest)
+        # Guards against a false "not run": a repeat that arrives after its entry
+        # was dropped looks like an unused key. Entries of used keys are kept until
+        # ``forget_ms``, so a missing entry is conclusive only before then.
         forget_ms = _forget_ms(key)
         if now_ms >= forget_ms:
             return Forgotten()
@@ -171,16 +172,16 @@
         if entry is None:
             return
         if isinstance(outcome, NotRun):
-            # It is certain that nothing ran, so the key may be tried again.
+            # Nothing ran for certain, so the key may be used again.
             del self._entries[key.nonce]
             return
         entry.outcome = outcome
         if isinstance(outcome, Done):
-            self._bodies.append(key.nonce)
-            self._body_bytes += len(outcome.body)
-            self._drop_bodies()
+            self._answered_nonces.append(key.nonce)
+            self._answer_bytes += len(outcome.body)
+            self._drop_oldest_answers()
 
-    def _known(self, entry: _Entry, body_digest: bytes) -> Claim:
+    def _claim_used(self, entry: _Entry, body_digest: bytes) -> Claim:
         if entry.body_digest != body_digest:
             return Rejected(Reason.KEY_REUSED)
         if entry.outcome is None:
@@ -188,25 +189,26 @@
         return Finished(entry.outcome)
 
     def _tag(self, key: RequestKey) -> str:
-        digest = hmac.new(self.secret, _body(key).encode(), DIGEST).hexdigest()
+        digest = hmac.new(self.secret, _signed_text(key).encode(), DIGEST).hexdigest()
         return digest[:TAG_CHARACTERS]
 
-    def _drop_bodies(self) -> None:
-        # Whoever repeats a key whose answer was dropped is told that the
-        # request may have run, never that it was not.
-        while self._body_bytes > self.answer_bytes_max:
-            entry = self._entries.get(self._bodies.popleft())
+    def _drop_oldest_answers(self) -> None:
+        # A repeat of a key whose answer was dropped is answered that the request
+        # may have run, never that it was not run.
+        while self._answer_bytes > self.answer_bytes_max:
+            entry = self._entries.get(self._answered_nonces.popleft())
             if entry is not None and isinstance(entry.outcome, Done):
-                self._body_bytes -= len(entry.outcome.body)
+                self._answer_bytes -= len(entry.outcome.body)
                 entry.outcome = Unknown(Reason.ANSWER_DROPPED)
 
-    def _forget(self, now_ms: int) -> None:
+    def _forget_expired(self, now_ms: int) -> None:
         # Entries are in order of first use, not of deadline, so one long-lived
-        # key can hold back the clean-up behind it; the count bounds memory.
+        # key can delay the removal of those after it. ``remembered_max`` bounds
+        # their memory.
         while self._entries:
             nonce, entry = next(iter(self._entries.items()))
             if now_ms < entry.forget_ms or entry.outcome is None:
                 return
             del self._entries[nonce]
             if isinstance(entry.outcome, Done):
-                self._body_bytes -= len(entry.outcome.body)
+                self._answer_bytes -= len(entry.outcome.body)
--- a/packages/hornbeampaddle/hornbeampaddle/machines.py
+++ b/packages/hornbeampaddle/hornbeampaddle/machines.py
@@ -1,8 +1,9 @@
 """
-Describe the machines and zones that the instance list names.
+Describe the machines and data centres in the instance list.
 
-The list lags, so these objects are hints for finding things. No safety rule
-reads them: what a worker holds is checked against the worker's own answers.
+The list lags behind, so its entries are only hints for finding machines. No
+safety rule depends on them: what runs on a worker is checked against the worker's
+own answers.
 """
 
 from dataclasses import dataclass, field
@@ -12,7 +13,7 @@
 
 
 class Standing(Enum):
-    """What the instance list says of a machine."""
+    """The state of a machine in the instance list."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -20,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Address:
-    """An IP number and a port."""
+    """An IP address and a port."""
 
     host: str
     port: int
@@ -31,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Worker:
-    """One target machine: where it stands and what its hardware holds."""
+    """One target machine: its address, location and capacity."""
 
     worker_id: str
     address: Address
@@ -45,13 +46,13 @@
 
 @dataclass(slots=True)
 class DataCentre:
-    """The workers of one data centre, by id, and what they hold together."""
+    """The workers of one data centre, by id."""
 
     name: str
     workers: dict[str, Worker] = field(default_factory=dict)
 
     def capacity(self) -> Resources:
-        """Return the sum of the capacities of all its workers."""
+        """Return the total capacity of the workers."""
         total = NOTHING
         for worker in self.workers.values():
             total = total + worker.capacity
--- a/packages/hornbeampaddle/hornbeampaddle/messages.py
+++ b/packages/hornbeampaddle/hornbeampaddle/messages.py
@@ -1,9 +1,9 @@
 """
-Define what entry instances of one data centre say to each other.
+Define the messages between the entry instances of one data centre.
 
-Every message travels in an envelope that names the sender's incarnation and
-numbers its messages to this receiver; a receiver drops a number it has passed,
-so a delayed or repeated message changes nothing.
+Every message is sent in an envelope with the sender's incarnation and a sequence
+number per receiver. A receiver drops numbers up to the highest that it has
+received, so delayed and repeated messages have no effect.
 """
 
 import msgspec
@@ -13,7 +13,7 @@
 
 
 class WireNeeds(Struct, frozen=True, array_like=True):
-    """Resources in compact form."""
+    """An amount of resources in compact form."""
 
     cpu_millis: int
     memory_bytes: int
@@ -21,7 +21,7 @@
 
 
 class WorkerSummary(Struct, frozen=True, array_like=True):
-    """What the sender decides for: one worker, its room and its free slots."""
+    """A worker that the sender controls, with its free capacity and free slots."""
 
     worker_id: str
     epoch: int
@@ -32,12 +32,12 @@
 
 class Heartbeat(Struct, frozen=True, tag=True):
     """
-    Say that the sender lives, what it knows and what it can take.
+    Announce that the sender is live, with its state and its workers' capacity.
 
-    ``owner`` is the name under which the sender owns jobs.
-    ``sent_s`` is on the sender's clock, ``echo_s`` the last ``sent_s`` it got
-    from the receiver. ``authority_until_s`` and ``promise_until_s`` are on the
-    receiver's clock. ``workers`` holds only what changed, plus a few in turn.
+    ``owner`` is the name under which the sender owns jobs. ``sent_s`` is on the
+    sender's clock; ``echo_s`` is the last ``sent_s`` that it received from the
+    receiver. ``authority_until_s`` and ``promise_until_s`` are on the receiver's
+    clock. ``workers`` contains the changed workers and, in rotation, a few others.
     """
 
     owner: str
@@ -70,7 +70,7 @@
 
 
 class PlaceOrder(Struct, frozen=True, tag=True):
-    """Start an attempt, until a time on the receiver's clock."""
+    """Start an attempt; valid until ``valid_until_s`` on the receiver's clock."""
 
     order: WireOrder
     worker_id: str
@@ -78,7 +78,7 @@
 
 
 class PlaceRefused(Struct, frozen=True, tag=True):
-    """The attempt was not started and will not be."""
+    """The attempt was not started and will not be started."""
 
     attempt: str
     worker_id: str
@@ -86,7 +86,7 @@
 
 
 class RunningNotice(Struct, frozen=True, tag=True):
-    """An attempt runs on a worker that the sender decides for at ``epoch``."""
+    """An attempt runs on a worker that the sender controls at ``epoch``."""
 
     order: WireOrder
     worker_id: str
@@ -94,14 +94,14 @@
 
 
 class DoubtNotice(Struct, frozen=True, tag=True):
-    """The worker that may run the attempt does not answer the sender."""
+    """The worker that may run the attempt doesn't answer the sender."""
 
     order: WireOrder
     worker_id: str
 
 
 class EndedNotice(Struct, frozen=True, tag=True):
-    """An attempt is over."""
+    """An attempt has ended."""
 
     order: WireOrder
     worker_id: str
@@ -111,7 +111,7 @@
 
 
 class AdoptOrder(Struct, frozen=True, tag=True):
-    """The owner of the attempt wants it to go on."""
+    """The owner of the attempt wants it to continue."""
 
     owner: str
     attempt: str
@@ -119,7 +119,7 @@
 
 
 class AcknowledgeEnd(Struct, frozen=True, tag=True):
-    """The sender has taken in the attempt's end."""
+    """The sender has processed the attempt's end."""
 
     attempt: str
     worker_id: str
@@ -133,14 +133,14 @@
 
 
 class AskAttempt(Struct, frozen=True, tag=True):
-    """Say what became of an attempt, after a new round trip to its worker."""
+    """Ask for the state of an attempt, after a new round trip to its worker."""
 
     order: WireOrder
     worker_id: str
 
 
 class BorrowSlots(Struct, frozen=True, tag=True):
-    """Ask for slots of a service."""
+    """Ask to borrow slots of a service."""
 
     grant_id: str
     service: str
@@ -168,14 +168,14 @@
 
 
 class AskOwned(Struct, frozen=True, tag=True):
-    """Ask for all that the receiver's workers hold of a dead owner."""
+    """Ask for the attempts of a dead owner on the receiver's workers."""
 
     dead_owner: str
     successor: str
 
 
 class Owned(Struct, frozen=True, tag=True):
-    """All that one worker runs or has ended, for a dead owner's successor."""
+    """All attempts that one worker runs or has ended, for a dead owner's successor."""
 
     dead_owner: str
     worker_id: str
@@ -185,13 +185,13 @@
 
 
 class AskInventory(Struct, frozen=True, tag=True):
-    """Ask what runs on the workers that the receiver decides for."""
+    """Ask what runs on the workers that the receiver controls."""
 
     call_id: str
 
 
 class WorkerInventory(Struct, frozen=True, array_like=True):
-    """The attempts that hold room on one worker, as known at ``epoch``."""
+    """The attempts with allocated capacity on one worker, as known at ``epoch``."""
 
     worker_id: str
     epoch: int
@@ -199,14 +199,14 @@
 
 
 class Inventory(Struct, frozen=True, tag=True):
-    """What runs on the workers that the sender decides for."""
+    """What runs on the workers that the sender controls."""
 
     call_id: str
     workers: tuple[WorkerInventory, ...]
 
 
 class ForwardRequest(Struct, frozen=True, tag=True):
-    """Hand a request to the keeper of its key."""
+    """Forward a request to the keeper of its key."""
 
     call_id: str
     key: str
@@ -218,7 +218,7 @@
 
 
 class ForwardAnswer(Struct, frozen=True, tag=True):
-    """The keeper's outcome of a forwarded request."""
+    """The outcome of a forwarded request, from the keeper of its key."""
 
     call_id: str
     outcome: str
@@ -232,10 +232,10 @@
 
 class ConfigBatch(Struct, frozen=True, tag=True):
     """
-    Configuration records after ``after_offset``, for a peer that lags.
+    Configuration records after ``after_offset``, for a lagging peer.
 
-    ``entries`` holds (offset, encoded record); with ``whole`` set, the single
-    entry is a snapshot of everything through its offset.
+    ``entries`` contains (offset, encoded record). If ``whole`` is set, its only
+    entry is a snapshot of the full configuration through its offset.
     """
 
     after_offset: int
@@ -268,7 +268,7 @@
 
 
 class Envelope(Struct, frozen=True, array_like=True):
-    """A message with its sender and its number."""
+    """A message with its sender and sequence number."""
 
     version: int
     data_centre: str
--- a/packages/hornbeampaddle/hornbeampaddle/notices.py
+++ b/packages/hornbeampaddle/hornbeampaddle/notices.py
@@ -1,4 +1,4 @@
-"""Define what a decider tells the owners of attempts."""
+"""Define the notices that a decider sends to the owners of attempts."""
 
 from dataclasses import dataclass
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt is over; repeated until its owner acknowledges it."""
+    """An attempt has ended; repeated until its owner acknowledges it."""
 
     order: TaskOrder
     worker_id: str
@@ -21,7 +21,7 @@
     """
     An attempt is known to run; repeated until its owner adopts it.
 
-    ``epoch`` is the worker's epoch under which that was known.
+    ``epoch`` is the worker's epoch at which this was known.
     """
 
     order: TaskOrder
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptInDoubt:
-    """The worker does not answer; the attempt may or may not be running."""
+    """The worker doesn't answer; the attempt may or may not be running."""
 
     order: TaskOrder
     worker_id: str
@@ -40,10 +40,10 @@
 @dataclass(frozen=True, slots=True)
 class OwnerInventory:
     """
-    All that a worker runs or has ended of one owner that was succeeded.
+    All attempts that a worker runs or has ended, for a succeeded owner's successor.
 
-    It is complete: what it does not name is not on the worker and cannot start
-    there any more.
+    The inventory is complete: an attempt of the old owner that it doesn't list is
+    not on the worker and can't be started there any more.
     """
 
     dead_owner: str
--- a/packages/hornbeampaddle/hornbeampaddle/outcomes.py
+++ b/packages/hornbeampaddle/hornbeampaddle/outcomes.py
@@ -1,8 +1,8 @@
 """
-Say how a request ended, as values that callers can rely on.
+Define the possible outcomes of a request.
 
-Exactly three endings exist. ``NotRun`` is only ever built where it is certain
-that no target ran the request or will run it later.
+There are exactly three. ``NotRun`` is created only where it is certain that no
+target has run the request or will run it later.
 """
 
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 
 class Reason(Enum):
-    """Why a request was not run, or why its fate is not known."""
+    """Why a request was not run, or why its outcome is unknown."""
 
     NO_CONFIGURATION = "no_configuration"
     UNKNOWN_SERVICE = "unknown_service"
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """The request ran to its end; ``body`` is the target's whole answer."""
+    """The request ran to completion; ``body`` is the target's complete answer."""
 
     status: int
     content_type: str
--- a/packages/hornbeampaddle/hornbeampaddle/plans.py
+++ b/packages/hornbeampaddle/hornbeampaddle/plans.py
@@ -1,10 +1,10 @@
 """
 Turn an operator's intent into a plan, and a confirmed plan into a record.
 
-A plan is a value: it carries the intent, the changes it would make, what it
-was computed from and what it would move, stop or refuse. Confirming computes
-it again; if the world has moved on so that more would be stopped or refused,
-the plan is turned down and the operator asks for a new one.
+A plan is an immutable value: it contains the intent, the changes to make, the
+versions that it was computed from and what it would move, stop or refuse. On
+confirmation it is computed again; if by then more would be stopped or refused,
+the plan is rejected and the operator has to request a new one.
 """
 
 from collections.abc import Iterable
@@ -19,9 +19,9 @@
     Configuration,
     Repeat,
     ZoneKind,
+    capacity_object_of,
     object_of,
     resources_of,
-    room_of,
 )
 from .contracts import TaskOrder
 from .intents import (
@@ -54,7 +54,7 @@
 
 
 class Effect(Struct, frozen=True):
-    """One thing that the plan does: ``verb`` is move, stop, refuse or reserve."""
+    """One effect of a plan; ``verb`` is move, stop, refuse or reserve."""
 
     verb: str
     subject: str
@@ -62,7 +62,7 @@
 
 
 class Plan(Struct, frozen=True):
-    """What confirming an intent would do, and what that was computed from."""
+    """The effects of confirming an intent, and the versions they are computed from."""
 
     plan_id: str
     intent: Intent
@@ -74,45 +74,45 @@
     risks: tuple[str, ...] = ()
 
     def refused(self) -> bool:
-        """Tell whether the plan can do nothing of what was intended."""
+        """Tell whether the plan refuses the intent."""
         return any(effect.verb == "refuse" for effect in self.effects)
 
 
 @dataclass(slots=True)
-class World:
-    """What a plan is computed from."""
+class PlanInputs:
+    """The state that a plan is computed from."""
 
     configuration: Configuration
     workers: list[Worker]
-    # Attempts on workers by worker id, as far as this data centre knows them.
+    # Attempts by worker id, as far as this data centre knows them.
     running: dict[str, list[TaskOrder]] = field(default_factory=dict)
     free: dict[str, Resources] = field(default_factory=dict)
-    # Entry instances that did not say what runs on their workers.
+    # Entry instances that didn't report what runs on their workers.
     silent: tuple[str, ...] = ()
 
 
-def make_plan(intent: Intent, world: World) -> Result[Plan, str]:
-    """Compute a plan; an error says what is wrong with the intent itself."""
+def make_plan(intent: Intent, inputs: PlanInputs) -> Result[Plan, str]:
+    """Compute a plan, or return an error if the intent itself is invalid."""
     match intent:
         case AddService():
-            return _add_service(intent, world)
+            return _add_service(intent, inputs)
         case DropService():
-            return _drop_service(intent, world)
+            return _drop_service(intent, inputs)
         case Drain():
-            return _drain(intent, world)
+            return _drain(intent, inputs)
         case Evacuate():
-            return _evacuate(intent, world)
+            return _evacuate(intent, inputs)
         case ChangeQuota():
             change = SetQuota(intent.team, intent.needs)
-            return Ok(_plan(intent, world, [change], []))
+            return Ok(_plan(intent, inputs, [change], []))
         case ChangeLimit():
-            return _change_limit(intent, world)
+            return _change_limit(intent, inputs)
         case AddJob():
-            return _add_job(intent, world)
+            return _add_job(intent, inputs)
 
 
-def worse_than(plan: Plan, again: Plan) -> list[Effect]:
-    """Return what the plan, computed again, would stop or refuse on top."""
+def added_disruptions(plan: Plan, again: Plan) -> list[Effect]:
+    """Return what the recomputed plan would stop or refuse in addition."""
     known = {(e.verb, e.subject) for e in plan.effects}
     return [
         effect
@@ -129,14 +129,14 @@
 
 def _plan(
     intent: Intent,
-    world: World,
+    inputs: PlanInputs,
     changes: Iterable[Change],
     effects: list[Effect],
     also_read: Iterable[str] = (),
     risks: Iterable[str] = (),
 ) -> Plan:
     changes = tuple(changes)
-    configuration = world.configuration
+    configuration = inputs.configuration
     names = {object_of(change) for change in changes} | set(also_read)
     based_on = {name: configuration.version(name) for name in sorted(names)}
     seed = msgspec.msgpack.encode([intent, based_on, changes])
@@ -147,60 +147,60 @@
         based_on=based_on,
         changes=changes,
         effects=tuple(effects),
-        capacity_left=_capacity_left(world),
-        risks=(*risks, *_unknown_risks(world)),
+        capacity_left=_capacity_left(inputs),
+        risks=(*risks, *_unknown_risks(inputs)),
     )
 
 
-def _unknown_risks(world: World) -> list[str]:
+def _unknown_risks(inputs: PlanInputs) -> list[str]:
     return [
         f"{name} did not answer; what runs on its workers is not in this plan"
-        for name in world.silent
+        for name in inputs.silent
     ]
 
 
-def _usable(world: World) -> list[Worker]:
+def _usable(inputs: PlanInputs) -> list[Worker]:
     return [
         worker
-        for worker in world.workers
-        if worker.standing is Standing.LIVE and world.configuration.takes_work(worker)
+        for worker in inputs.workers
+        if worker.standing is Standing.LIVE and inputs.configuration.takes_work(worker)
     ]
 
 
-def _staying(world: World) -> list[Worker]:
-    """Return the workers that will take work, at the latest when an evacuation ends."""
+def _not_draining(inputs: PlanInputs) -> list[Worker]:
+    """Return the live workers that aren't draining, including evacuated ones."""
     return [
         worker
-        for worker in world.workers
+        for worker in inputs.workers
         if worker.standing is Standing.LIVE
-        and not world.configuration.is_draining(worker)
+        and not inputs.configuration.is_draining(worker)
     ]
 
 
-def _capacity_left(world: World) -> Needs:
+def _capacity_left(inputs: PlanInputs) -> Needs:
     left = NOTHING
-    for worker in _usable(world):
-        reserved = world.configuration.reserved_on(worker.worker_id)
-        free = world.free.get(worker.worker_id, worker.capacity - reserved)
+    for worker in _usable(inputs):
+        reserved = inputs.configuration.reserved_on(worker.worker_id)
+        free = inputs.free.get(worker.worker_id, worker.capacity - reserved)
         left = left + free
     return Needs(
         max(0, left.cpu_millis), max(0, left.memory_bytes), max(0, left.accelerators)
     )
 
 
-def _add_service(intent: AddService, world: World) -> Result[Plan, str]:
+def _add_service(intent: AddService, inputs: PlanInputs) -> Result[Plan, str]:
     if intent.repeat not in {repeat.value for repeat in Repeat}:
         choices = ", ".join(repeat.value for repeat in Repeat)
         return Err(f"repeat must be one of {choices}")
     if intent.slots_per_worker < 1:
         return Err("slots_per_worker must be at least 1")
     needs = resources_of(intent.needs).times(intent.slots_per_worker)
-    old = world.configuration.services.get(intent.service)
-    chosen = _choose_workers(intent, needs, world)
+    old = inputs.configuration.services.get(intent.service)
+    chosen = _choose_workers(intent, needs, inputs)
     if not chosen:
-        detail = _why_no_worker(needs, intent, world)
+        detail = _why_no_worker(needs, intent, inputs)
         effects = [Effect("refuse", intent.service, detail)]
-        return Ok(_plan(intent, world, [], effects))
+        return Ok(_plan(intent, inputs, [], effects))
     placement = tuple(worker.worker_id for worker in chosen)
     change = SetService(
         service=intent.service,
@@ -215,13 +215,13 @@
         for worker in chosen
     ]
     for worker in chosen:
-        effects.extend(_displaced(worker, needs, old, world))
+        effects.extend(_evictions_on(worker, needs, old, inputs))
     zones = _zones_of(chosen)
-    rooms = {room_of(worker.worker_id) for worker in chosen}
+    rooms = {capacity_object_of(worker.worker_id) for worker in chosen}
     return Ok(
         _plan(
             intent,
-            world,
+            inputs,
             [change],
             effects,
             also_read=zones | rooms,
@@ -230,13 +230,15 @@
     )
 
 
-def _choose_workers(intent: AddService, needs: Resources, world: World) -> list[Worker]:
-    """Choose workers with room for the reservation, spread over racks."""
+def _choose_workers(
+    intent: AddService, needs: Resources, inputs: PlanInputs
+) -> list[Worker]:
+    """Choose workers with enough capacity for the reservation, spread over racks."""
     racks: dict[tuple[str, str], list[Worker]] = {}
-    for worker in _usable(world):
+    for worker in _usable(inputs):
         if intent.data_centres and worker.data_centre not in intent.data_centres:
             continue
-        others = _others_on(world, worker, intent.service)
+        others = _others_on(inputs, worker, intent.service)
         slots = sum(s.slots_per_worker for s in others) + intent.slots_per_worker
         if slots > worker.slots:
             continue
@@ -249,9 +251,11 @@
     return spread[: intent.workers] if intent.workers else spread
 
 
-def _others_on(world: World, worker: Worker, besides: str) -> list[SetService]:
-    services = world.configuration.services_on(worker.worker_id)
-    return [s for s in services if s.service != besides]
+def _others_on(
+    inputs: PlanInputs, worker: Worker, excluded_service: str
+) -> list[SetService]:
+    services = inputs.configuration.services_on(worker.worker_id)
+    return [s for s in services if s.service != excluded_service]
 
 
 def _reserved(services: list[SetService]) -> Resources:
@@ -262,8 +266,8 @@
     return total
 
 
-def _why_no_worker(needs: Resources, intent: AddService, world: World) -> str:
-    match never_fits(needs, _usable(world)):
+def _why_no_worker(needs: Resources, intent: AddService, inputs: PlanInputs) -> str:
+    match never_fits(needs, _usable(inputs)):
         case NeverFits() as never:
             return (
                 f"{intent.slots_per_worker} slots never fit: {never.lacking} "
@@ -273,18 +277,18 @@
             return "no worker has room left beside the services already placed"
 
 
-def _displaced(
-    worker: Worker, needs: Resources, old: SetService | None, world: World
+def _evictions_on(
+    worker: Worker, needs: Resources, old: SetService | None, inputs: PlanInputs
 ) -> list[Effect]:
-    """Name the attempts that must leave a worker for a reservation to fit."""
-    free = world.free.get(worker.worker_id)
+    """Return the evictions from a worker that a reservation requires."""
+    free = inputs.free.get(worker.worker_id)
     if free is None:
         return []
     if old is not None and worker.worker_id in old.placement:
         free = free + resources_of(old.needs).times(old.slots_per_worker)
     effects = []
     orders = sorted(
-        world.running.get(worker.worker_id, []),
+        inputs.running.get(worker.worker_id, []),
         key=lambda order: (order.urgent, order.costly_to_evict),
     )
     for order in orders:
@@ -320,47 +324,47 @@
     return [f"losing rack {rack} would take {most} of {total} slots"]
 
 
-def _drop_service(intent: DropService, world: World) -> Result[Plan, str]:
-    service = world.configuration.services.get(intent.service)
+def _drop_service(intent: DropService, inputs: PlanInputs) -> Result[Plan, str]:
+    service = inputs.configuration.services.get(intent.service)
     if service is None:
         return Err(f"there is no service {intent.service}; see 'status' for names")
     detail = "new requests are refused, those in flight end"
     effects = [Effect("stop", intent.service, detail)]
-    return Ok(_plan(intent, world, [RemoveService(intent.service)], effects))
+    return Ok(_plan(intent, inputs, [RemoveService(intent.service)], effects))
 
 
-def _drain(intent: Drain, world: World) -> Result[Plan, str]:
+def _drain(intent: Drain, inputs: PlanInputs) -> Result[Plan, str]:
     if intent.zone not in {zone.value for zone in ZoneKind}:
         return Err("zone must be one of worker, rack, data_centre")
-    inside = [w for w in world.workers if _in_zone(w, intent)]
-    if not inside and intent.draining:
+    affected = [w for w in inputs.workers if _in_zone(w, intent)]
+    if not affected and intent.draining:
         return Err(f"the instance list names no worker in {intent.zone} {intent.name}")
     change = SetDrain(intent.zone, intent.name, intent.draining)
     if not intent.draining:
-        effects = [Effect("reserve", w.worker_id, TAKEN_BACK) for w in inside]
-        return Ok(_plan(intent, world, [change], effects))
+        effects = [Effect("reserve", w.worker_id, TAKEN_BACK) for w in affected]
+        return Ok(_plan(intent, inputs, [change], effects))
     effects = []
-    for worker in inside:
+    for worker in affected:
         effects.append(Effect("move", worker.worker_id, NO_NEW_WORK))
-        for order in world.running.get(worker.worker_id, []):
+        for order in inputs.running.get(worker.worker_id, []):
             effects.append(_stop(order, worker))
-    risks = _drain_risks(inside, world)
-    return Ok(_plan(intent, world, [change], effects, risks=risks))
+    risks = _drain_risks(affected, inputs)
+    return Ok(_plan(intent, inputs, [change], effects, risks=risks))
 
 
-def _evacuate(intent: Evacuate, world: World) -> Result[Plan, str]:
+def _evacuate(intent: Evacuate, inputs: PlanInputs) -> Result[Plan, str]:
     name = intent.data_centre
-    inside = [w for w in world.workers if w.data_centre == name]
+    affected = [w for w in inputs.workers if w.data_centre == name]
     change = SetEvacuation(name, intent.evacuated)
     if not intent.evacuated:
-        effects = [Effect("reserve", w.worker_id, TAKEN_BACK) for w in inside]
-        return Ok(_plan(intent, world, [change], effects))
-    if not inside:
+        effects = [Effect("reserve", w.worker_id, TAKEN_BACK) for w in affected]
+        return Ok(_plan(intent, inputs, [change], effects))
+    if not affected:
         return Err(f"the instance list names no worker in data centre {name}")
     detail = f"{NO_NEW_WORK}, what runs there runs on"
-    effects = [Effect("move", w.worker_id, detail) for w in inside]
-    risks = _drain_risks(inside, world)
-    return Ok(_plan(intent, world, [change], effects, risks=risks))
+    effects = [Effect("move", w.worker_id, detail) for w in affected]
+    risks = _drain_risks(affected, inputs)
+    return Ok(_plan(intent, inputs, [change], effects, risks=risks))
 
 
 def _in_zone(worker: Worker, intent: Drain) -> bool:
@@ -373,11 +377,11 @@
             return worker.data_centre == intent.name
 
 
-def _drain_risks(inside: list[Worker], world: World) -> list[str]:
-    gone = {worker.worker_id for worker in inside}
-    usable = {worker.worker_id for worker in _usable(world)}
+def _drain_risks(affected: list[Worker], inputs: PlanInputs) -> list[str]:
+    gone = {worker.worker_id for worker in affected}
+    usable = {worker.worker_id for worker in _usable(inputs)}
     risks = []
-    for service in world.configuration.services.values():
+    for service in inputs.configuration.services.values():
         before = [w for w in service.placement if w in usable]
         after = [w for w in before if w not in gone]
         if len(after) == len(before):
@@ -388,19 +392,19 @@
     return risks
 
 
-def _change_limit(intent: ChangeLimit, world: World) -> Result[Plan, str]:
-    if intent.service not in world.configuration.services:
+def _change_limit(intent: ChangeLimit, inputs: PlanInputs) -> Result[Plan, str]:
+    if intent.service not in inputs.configuration.services:
         return Err(f"there is no service {intent.service}; see 'status' for names")
     if intent.in_flight_max < 1:
         return Err("in_flight_max must be at least 1; to stop a service, remove it")
     change = SetLimit(intent.service, intent.in_flight_max)
-    return Ok(_plan(intent, world, [change], []))
+    return Ok(_plan(intent, inputs, [change], []))
 
 
-def _add_job(intent: AddJob, world: World) -> Result[Plan, str]:
+def _add_job(intent: AddJob, inputs: PlanInputs) -> Result[Plan, str]:
     spec = intent.spec
     needs = resources_of(spec.needs)
-    match never_fits(needs, _staying(world)):
+    match never_fits(needs, _not_draining(inputs)):
         case NeverFits() as never:
             detail = (
                 f"never fits: {never.lacking} too small even on the largest "
@@ -409,4 +413,4 @@
             effects = [Effect("refuse", spec.job_id, detail)]
         case _:
             effects = [Effect("reserve", spec.job_id, f"{spec.tasks} tasks")]
-    return Ok(_plan(intent, world, [], effects))
+    return Ok(_plan(intent, inputs, [], effects))
--- a/packages/hornbeampaddle/hornbeampaddle/records.py
+++ b/packages/hornbeampaddle/hornbeampaddle/records.py
@@ -1,9 +1,9 @@
 """
-Define the records that last, as they stand in the log service's streams.
+Define the durable records in the log service's streams.
 
-Each record carries an id chosen before the first append. An append whose
-answer was lost is repeated with the same id, and readers skip an id that they
-have already applied, so a record takes effect once.
+Each record has an id that is generated before its first append. An append whose
+answer was lost is repeated with the same id, and readers skip ids that they have
+already applied, so a record takes effect once.
 """
 
 from typing import Annotated
@@ -20,12 +20,12 @@
 
 
 def home_stream(data_centre: str) -> str:
-    """Return the stream that holds one data centre's jobs."""
+    """Return the name of the stream of one data centre's jobs."""
     return f"home.{data_centre}"
 
 
 class Needs(Struct, frozen=True, forbid_unknown_fields=True):
-    """What one slot or one task needs, as written by people."""
+    """The resources of one slot or one task, as stated by users."""
 
     cpu_millis: Count = 0
     memory_bytes: Count = 0
@@ -33,7 +33,7 @@
 
 
 class SetService(Struct, frozen=True, tag=True, forbid_unknown_fields=True):
-    """Add or replace a service, with the workers it has room on."""
+    """Add or replace a service; ``placement`` names the workers that reserve slots."""
 
     service: Name
     repeat: str
@@ -45,7 +45,7 @@
 
 
 class RemoveService(Struct, frozen=True, tag=True, forbid_unknown_fields=True):
-    """Take a service out; requests in flight end, new ones are refused."""
+    """Remove a service; requests in flight finish, new ones are refused."""
 
     service: Name
 
@@ -59,21 +59,21 @@
 
 
 class SetEvacuation(Struct, frozen=True, tag=True, forbid_unknown_fields=True):
-    """Let nothing new start in a data centre, or end that; what runs there runs on."""
+    """Start or end an evacuation: no new work starts, running work continues."""
 
     data_centre: Name
     evacuated: bool
 
 
 class SetQuota(Struct, frozen=True, tag=True, forbid_unknown_fields=True):
-    """Limit what the batch tasks of one team hold at once."""
+    """Limit the total resources of one team's running batch tasks."""
 
     team: Name
     needs: Needs
 
 
 class SetLimit(Struct, frozen=True, tag=True, forbid_unknown_fields=True):
-    """Limit the requests of a service that are in flight at once."""
+    """Limit the number of a service's requests in flight."""
 
     service: Name
     in_flight_max: Annotated[int, Meta(ge=1)]
@@ -84,11 +84,11 @@
 
 class ConfigChange(Struct, frozen=True, tag=True, forbid_unknown_fields=True):
     """
-    A confirmed plan: all of its changes take effect, or none.
+    A confirmed plan: either all of its changes take effect or none.
 
-    ``based_on`` gives, for each object the plan was computed from, the offset
-    of the change that the object had last seen (-1 for none). A reader that
-    finds another offset there voids the record, as every other reader does.
+    ``based_on`` maps each object that the plan was computed from to the offset of
+    the object's last change (-1 for none). If the offset of any object differs, the
+    record is void, for every reader alike.
     """
 
     record_id: str
@@ -98,7 +98,7 @@
 
 
 class ConfigSnapshot(Struct, frozen=True, tag=True):
-    """The whole configuration through an offset, written before records expire."""
+    """The full configuration through an offset, written before records expire."""
 
     record_id: str
     through_offset: int
@@ -114,7 +114,7 @@
 
 
 class JobSpec(Struct, frozen=True, forbid_unknown_fields=True):
-    """A job as its submitter states it: ``tasks`` equal tasks."""
+    """A job as specified by its submitter: ``tasks`` identical tasks."""
 
     job_id: Name
     team: Name
@@ -128,7 +128,7 @@
 
 
 class JobAccepted(Struct, frozen=True, tag=True):
-    """A job is durable; the first record of a job id names its owner."""
+    """A job was accepted; the first record of a job id determines its owner."""
 
     record_id: str
     spec: JobSpec
@@ -136,7 +136,7 @@
 
 
 class TasksEnded(Struct, frozen=True, tag=True):
-    """Tasks of any jobs reached their end; written in groups."""
+    """Final results of tasks, which may be of several jobs, in one batch."""
 
     record_id: str
     ended: dict[str, str]
@@ -146,8 +146,8 @@
     """
     The attempts of a task that count against its limits, as (term, number).
 
-    ``failed`` are all that failed, ``lost`` those in a row that went with their
-    workers.
+    ``failed`` contains all failed attempts, ``lost`` the consecutive attempts that
+    were lost with their workers.
     """
 
     failed: list[tuple[int, int]]
@@ -156,7 +156,7 @@
 
 class TasksAdvanced(Struct, frozen=True, tag=True):
     """
-    How far tasks are, as their owner knows it.
+    The progress of tasks, as known to their owner.
 
     ``advanced`` maps a task id to (attempt number, generation).
     """
@@ -167,7 +167,7 @@
 
 
 class JobCancelled(Struct, frozen=True, tag=True):
-    """A job must not run any further."""
+    """A job was cancelled and must not run any further."""
 
     record_id: str
     job_id: str
@@ -175,9 +175,9 @@
 
 class Succession(Struct, frozen=True, tag=True):
     """
-    One incarnation takes over all jobs of another.
+    One owner takes over all jobs of another.
 
-    The first record for a dead owner wins: the log's order is the arbiter.
+    The first record for a dead owner wins, in the order of the log.
     """
 
     record_id: str
@@ -187,9 +187,9 @@
 
 class JobSnapshot(Struct, frozen=True, tag=True):
     """
-    All that matters of a live job, written anew before older records expire.
+    The full state of a live job, rewritten before its older records expire.
 
-    ``term`` is the offset that made ``owner`` its owner.
+    ``term`` is the offset of the record that made ``owner`` the job's owner.
     """
 
     record_id: str
--- a/packages/hornbeampaddle/hornbeampaddle/resources.py
+++ b/packages/hornbeampaddle/hornbeampaddle/resources.py
@@ -1,4 +1,4 @@
-"""Add, subtract and compare what work needs and what a worker holds."""
+"""Define amounts of resources, and arithmetic and comparisons on them."""
 
 from dataclasses import dataclass
 
@@ -26,7 +26,7 @@
         )
 
     def largest(self, other: "Resources") -> "Resources":
-        """Return the larger of both in each dimension."""
+        """Return the maximum of both amounts in each dimension."""
         return Resources(
             max(self.cpu_millis, other.cpu_millis),
             max(self.memory_bytes, other.memory_bytes),
@@ -34,7 +34,7 @@
         )
 
     def times(self, count: int) -> "Resources":
-        """Return the need of ``count`` pieces of this size."""
+        """Return this amount multiplied by ``count``."""
         return Resources(
             self.cpu_millis * count,
             self.memory_bytes * count,
@@ -42,7 +42,7 @@
         )
 
     def fits_in(self, room: "Resources") -> bool:
-        """Tell whether ``room`` holds this amount in every dimension."""
+        """Tell whether this amount fits in ``room`` in every dimension."""
         return (
             self.cpu_millis <= room.cpu_millis
             and self.memory_bytes <= room.memory_bytes
@@ -50,12 +50,12 @@
         )
 
     def lacking_in(self, room: "Resources") -> list[str]:
-        """Name the dimensions in which ``room`` is too small."""
+        """Return the names of the dimensions in which ``room`` is too small."""
         names = ("cpu_millis", "memory_bytes", "accelerators")
         return [name for name in names if getattr(self, name) > getattr(room, name)]
 
     def share_of(self, capacity: "Resources") -> float:
-        """Return the largest fraction of ``capacity`` that this amount takes."""
+        """Return the largest fraction of ``capacity`` used, over all dimensions."""
         pairs = (
             (self.cpu_millis, capacity.cpu_millis),
             (self.memory_bytes, capacity.memory_bytes),
--- a/packages/hornbeampaddle/hornbeampaddle/slots.py
+++ b/packages/hornbeampaddle/hornbeampaddle/slots.py
@@ -1,9 +1,9 @@
 """
-Count a worker's request slots, lend them to peers and get them back.
+Account for workers' request slots, including those lent to peers.
 
-Only the worker's decider gives out its slots. Peers borrow some until a
-deadline; a slot that was used until then counts as used until it is returned
-or a report of the worker, asked after the deadline, shows that it is free.
+Only a worker's decider allocates its slots. Peers borrow slots until a
+deadline. A slot that is in use at the deadline counts as used until it is
+returned, or until a worker report requested after the deadline shows it free.
 """
 
 from collections.abc import Container
@@ -11,15 +11,15 @@
 
 from .resources import NOTHING, Resources
 
-# Share of a new latency in a lane's running estimate.
+# Weight of a new latency in a slot group's exponential moving average.
 LATENCY_WEIGHT = 0.2
-REST_FIRST_S = 0.25
-REST_MAX_S = 8.0
+BACKOFF_FIRST_S = 0.25
+BACKOFF_MAX_S = 8.0
 
 
 @dataclass(slots=True)
 class Loan:
-    """Slots lent to a peer; it may begin requests on them until the deadline."""
+    """Slots lent to a peer, which may start requests on them until the deadline."""
 
     grant_id: str
     borrower: str
@@ -28,58 +28,59 @@
 
 
 @dataclass(slots=True)
-class Lane:
+class SlotGroup:
     """
-    The slots of one service on one worker that this instance decides for.
+    The slots of one service on one worker that this instance controls.
 
-    ``foreign`` bounds the requests that earlier deciders and their borrowers
-    still have in flight. They are fenced, so it can only fall.
+    ``unaccounted`` is an upper bound on the requests in flight that this instance
+    doesn't track: those of earlier deciders and their borrowers, who are fenced
+    and can't start more, and those it has abandoned. Worker reports lower it.
     """
 
     worker_id: str
     service: str
     total: int
     epoch: int
-    # What one slot holds; while slots are in use, the most that one may hold.
+    # Resources per slot; while slots are in use, the most that any of them may hold.
     needs: Resources = NOTHING
-    foreign: int = 0
+    unaccounted: int = 0
     used: int = 0
     open: bool = True
     loans: dict[str, Loan] = field(default_factory=dict)
     latency_s: float = 0.0
-    # After a failed call the lane rests, twice as long each time in a row.
-    rest_until_s: float = 0.0
-    rest_s: float = REST_FIRST_S
+    # Back-off after a failed call; it doubles with each consecutive failure.
+    backoff_until_s: float = 0.0
+    rest_s: float = BACKOFF_FIRST_S
 
     def lent(self) -> int:
-        """Return how many slots are lent out, used or not."""
+        """Return the number of slots that are lent out, in use or not."""
         return sum(loan.count for loan in self.loans.values())
 
     def in_use(self) -> int:
-        """Return how many slots may be running a request."""
-        return self.used + self.foreign + self.lent()
+        """Return the number of slots that may be running a request."""
+        return self.used + self.unaccounted + self.lent()
 
     def free(self) -> int:
-        """Return how many slots can be given out."""
+        """Return the number of slots that can be allocated."""
         if not self.open:
             return 0
         return max(0, self.total - self.in_use())
 
     def resize(self, total: int, needs: Resources) -> None:
-        """Take over a changed service; requests in flight keep what they hold."""
+        """Apply a changed service; requests in flight keep their resources."""
         self.total = total
         self.needs = needs.largest(self.needs) if self.in_use() else needs
 
     def held(self) -> Resources:
-        """Return what the lane reserves: its slots, or more that are in use."""
+        """Return the reserved resources: for all slots, or for more that are in use."""
         return self.needs.times(max(self.total, self.in_use()))
 
     def lend(self, loan: Loan) -> None:
-        """Lend free slots; the caller has checked that they are free."""
+        """Record a loan; the caller has checked that the slots are free."""
         self.loans[loan.grant_id] = loan
 
     def give_back(self, grant_id: str, count: int) -> None:
-        """Take back slots of a loan that their borrower no longer uses."""
+        """Take back slots of a loan that the borrower doesn't use any more."""
         loan = self.loans.get(grant_id)
         if loan is None:
             return
@@ -88,19 +89,19 @@
             del self.loans[grant_id]
 
     def reported(self, in_flight: int, asked_s: float) -> None:
-        """Take in the worker's count of the service's requests in flight."""
-        self.foreign = min(self.foreign, in_flight)
+        """Apply the service's number of requests in flight from a worker report."""
+        self.unaccounted = min(self.unaccounted, in_flight)
         for loan in list(self.loans.values()):
-            # Guards against slots lost with a borrower that died: after the
-            # deadline it begins nothing, so what the worker does not count as
-            # in flight is free again.
+            # Guards against leaking slots when a borrower dies: it starts nothing
+            # after the deadline, so slots that the worker doesn't count as in
+            # flight are free again.
             if asked_s > loan.deadline_s:
                 self.give_back(loan.grant_id, loan.count - in_flight)
 
 
 @dataclass(slots=True)
-class Borrowed:
-    """Slots borrowed from a worker's decider, on this instance's clock."""
+class BorrowedSlots:
+    """Slots borrowed from a worker's decider; ``deadline_s`` is on the local clock."""
 
     grant_id: str
     lender: str
@@ -112,9 +113,9 @@
     used: int = 0
 
     def free(self, now_s: float) -> int:
-        """Return how many requests may begin on this loan now."""
-        # Guards against a borrower that was paused past the deadline: the
-        # lender may have lent the slot again, and the worker would be overrun.
+        """Return the number of requests that may start on this loan now."""
+        # Guards against a borrower that was paused past the deadline: the lender
+        # may have lent the slot again, which would overload the worker.
         if now_s >= self.deadline_s:
             return 0
         return self.count - self.used
@@ -131,8 +132,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Return:
-    """Tell a lender that borrowed slots are free again."""
+class SlotReturn:
+    """Borrowed slots to give back to their lender."""
 
     lender: str
     grant_id: str
@@ -145,29 +146,29 @@
 class SlotPool:
     """All slots that one entry instance may use, its own and borrowed ones."""
 
-    lanes: dict[tuple[str, str], Lane] = field(default_factory=dict)
-    borrowed: dict[str, Borrowed] = field(default_factory=dict)
+    slot_groups: dict[tuple[str, str], SlotGroup] = field(default_factory=dict)
+    borrowed: dict[str, BorrowedSlots] = field(default_factory=dict)
 
     def take(
         self, service: str, now_s: float, avoid: Container[str] = ()
     ) -> Slot | None:
         """
-        Take the best free slot of a service, or None if there is none.
+        Take the best free slot of a service; return None if none is free.
 
-        ``avoid`` holds workers that must not be used. Own slots come first.
-        Among them the least expected wait wins: the worker's recent latency
-        times the share of its slots in use.
+        ``avoid`` contains workers that must not be used. Own slots are preferred.
+        Among them, the one with the lowest expected wait is taken: the worker's
+        recent latency times the fraction of its slots in use.
         """
-        best: Lane | None = None
+        best: SlotGroup | None = None
         best_cost = 0.0
-        for lane in self.lanes.values():
-            if lane.service != service or lane.free() == 0:
+        for group in self.slot_groups.values():
+            if group.service != service or group.free() == 0:
                 continue
-            if lane.rest_until_s > now_s or lane.worker_id in avoid:
+            if group.backoff_until_s > now_s or group.worker_id in avoid:
                 continue
-            cost = (lane.latency_s + 1e-4) * (lane.in_use() + 1) / lane.total
+            cost = (group.latency_s + 1e-4) * (group.in_use() + 1) / group.total
             if best is None or cost < best_cost:
-                best, best_cost = lane, cost
+                best, best_cost = group, cost
         if best is not None:
             best.used += 1
             return Slot(best.worker_id, service, best.epoch)
@@ -184,27 +185,29 @@
                 return Slot(loan.worker_id, service, loan.epoch, loan.grant_id)
         return None
 
-    def put(self, slot: Slot, now_s: float, latency_s: float | None) -> Return | None:
-        """Put a slot back after its request ended for certain."""
+    def put(
+        self, slot: Slot, now_s: float, latency_s: float | None
+    ) -> SlotReturn | None:
+        """Release a slot whose request has certainly ended."""
         if slot.grant_id:
             return self._put_borrowed(slot, now_s)
-        lane = self.lanes.get((slot.worker_id, slot.service))
-        if lane is None or lane.epoch != slot.epoch:
+        group = self.slot_groups.get((slot.worker_id, slot.service))
+        if group is None or group.epoch != slot.epoch:
             return None
-        lane.used -= 1
+        group.used -= 1
         if latency_s is not None:
-            lane.latency_s += LATENCY_WEIGHT * (latency_s - lane.latency_s)
-            lane.rest_s = REST_FIRST_S
+            group.latency_s += LATENCY_WEIGHT * (latency_s - group.latency_s)
+            group.rest_s = BACKOFF_FIRST_S
         return None
 
-    def rest(self, slot: Slot, now_s: float) -> None:
-        """Let a lane rest after a call that got no answer."""
-        lane = self.lanes.get((slot.worker_id, slot.service))
-        if lane is not None:
-            lane.rest_until_s = now_s + lane.rest_s
-            lane.rest_s = min(REST_MAX_S, 2 * lane.rest_s)
+    def back_off(self, slot: Slot, now_s: float) -> None:
+        """Stop using a slot group for its back-off time after an unanswered call."""
+        group = self.slot_groups.get((slot.worker_id, slot.service))
+        if group is not None:
+            group.backoff_until_s = now_s + group.rest_s
+            group.rest_s = min(BACKOFF_MAX_S, 2 * group.rest_s)
 
-    def _put_borrowed(self, slot: Slot, now_s: float) -> Return | None:
+    def _put_borrowed(self, slot: Slot, now_s: float) -> SlotReturn | None:
         loan = self.borrowed.get(slot.grant_id)
         if loan is None:
             return None
@@ -218,17 +221,17 @@
 
     def abandon(self, slot: Slot) -> None:
         """
-        Leave a slot counted as used: its request may still be running.
+        Stop tracking a slot whose request may still be running.
 
-        The worker's next reports free it.
+        It counts as in use until the worker's reports show otherwise.
         """
         if slot.grant_id:
             self._abandon_borrowed(slot)
             return
-        lane = self.lanes.get((slot.worker_id, slot.service))
-        if lane is not None and lane.epoch == slot.epoch:
-            lane.used -= 1
-            lane.foreign += 1
+        group = self.slot_groups.get((slot.worker_id, slot.service))
+        if group is not None and group.epoch == slot.epoch:
+            group.used -= 1
+            group.unaccounted += 1
 
     def _abandon_borrowed(self, slot: Slot) -> None:
         loan = self.borrowed.get(slot.grant_id)
@@ -239,8 +242,8 @@
         if loan.count == 0:
             del self.borrowed[slot.grant_id]
 
-    def give_back_idle(self, now_s: float) -> list[Return]:
-        """Return borrowed slots that are past their deadline and not in use."""
+    def give_back_idle(self, now_s: float) -> list[SlotReturn]:
+        """Give back the borrowed slots that are past their deadline and not in use."""
         returns = []
         for loan in list(self.borrowed.values()):
             idle = loan.count - loan.used
@@ -253,32 +256,41 @@
         return returns
 
     def free_of(self, service: str) -> int:
-        """Return how many own slots of a service are free."""
-        lanes = self.lanes.values()
-        return sum(lane.free() for lane in lanes if lane.service == service)
+        """Return the number of free own slots of a service."""
+        slot_groups = self.slot_groups.values()
+        return sum(group.free() for group in slot_groups if group.service == service)
 
-    def lanes_of(self, worker_id: str) -> list[Lane]:
-        """Return the lanes of one worker."""
-        return [lane for lane in self.lanes.values() if lane.worker_id == worker_id]
+    def slot_groups_of(self, worker_id: str) -> list[SlotGroup]:
+        """Return the slot groups of one worker."""
+        return [
+            group for group in self.slot_groups.values() if group.worker_id == worker_id
+        ]
 
     def drop_worker(self, worker_id: str) -> None:
-        """Forget the lanes of a worker that is no longer ours to decide."""
-        for key in [key for key in self.lanes if key[0] == worker_id]:
-            del self.lanes[key]
+        """Remove the slot groups of a worker that this instance doesn't control."""
+        for key in [key for key in self.slot_groups if key[0] == worker_id]:
+            del self.slot_groups[key]
 
     def lend(
         self, service: str, wanted: int, borrower: str, grant_id: str, deadline_s: float
-    ) -> tuple[Lane, Loan] | None:
-        """Lend up to ``wanted`` slots of the emptiest own lane of a service."""
-        lanes = [lane for lane in self.lanes.values() if lane.service == service]
-        lane = max(lanes, key=Lane.free, default=None)
-        if lane is None or lane.free() == 0:
+    ) -> tuple[SlotGroup, Loan] | None:
+        """
+        Lend up to ``wanted`` slots of the service's own group with most free slots.
+
+        At most half of the group's free slots are lent, but at least one. Return
+        None if no slot is free.
+        """
+        slot_groups = [
+            group for group in self.slot_groups.values() if group.service == service
+        ]
+        group = max(slot_groups, key=SlotGroup.free, default=None)
+        if group is None or group.free() == 0:
             return None
-        count = min(wanted, max(1, lane.free() // 2))
+        count = min(wanted, max(1, group.free() // 2))
         loan = Loan(grant_id, borrower, count, deadline_s)
-        lane.lend(loan)
-        return lane, loan
+        group.lend(loan)
+        return group, loan
 
 
-def _return_of(loan: Borrowed, count: int) -> Return:
-    return Return(loan.lender, loan.grant_id, loan.worker_id, loan.service, count)
+def _return_of(loan: BorrowedSlots, count: int) -> SlotReturn:
+    return SlotReturn(loan.lender, loan.grant_id, loan.worker_id, loan.service, count)
--- a/packages/hornbeampaddle/hornbeampaddle/wiring.py
+++ b/packages/hornbeampaddle/hornbeampaddle/wire_conversion.py
@@ -1,4 +1,4 @@
-"""Turn the library's values into peer messages and back."""
+"""Convert the library's values into peer messages and back."""
 
 from .contracts import Ending, TaskOrder
 from .identity import AttemptId
@@ -28,7 +28,7 @@
 
 
 def needs_of(wire: WireNeeds) -> Resources:
-    """Read the compact form of an amount of resources."""
+    """Convert resources from their compact form."""
     return Resources(wire.cpu_millis, wire.memory_bytes, wire.accelerators)
 
 
@@ -49,7 +49,7 @@
 
 
 def order_of(wire: WireOrder) -> TaskOrder:
-    """Read the compact form of a task order."""
+    """Convert a task order from its compact form."""
     return TaskOrder(
         AttemptId.parse(wire.attempt),
         wire.owner,
@@ -65,7 +65,7 @@
 
 
 def wire_notice(notice: Notice) -> RunningNotice | EndedNotice | DoubtNotice | Owned:
-    """Return the message that carries a decider's notice."""
+    """Return the message for a decider's notice."""
     if isinstance(notice, OwnerInventory):
         return Owned(
             notice.dead_owner,
@@ -95,7 +95,7 @@
 
 
 def notice_of(message: RunningNotice | EndedNotice | DoubtNotice | Owned) -> Notice:
-    """Read the message that carries a decider's notice."""
+    """Return the notice in a decider's message."""
     if isinstance(message, Owned):
         return OwnerInventory(
             message.dead_owner,
@@ -128,7 +128,7 @@
 
 
 def wire_outcome(call_id: str, outcome: Outcome) -> ForwardAnswer:
-    """Return the message that carries a request's outcome."""
+    """Return the message for a request's outcome."""
     match outcome:
         case Done():
             return ForwardAnswer(
@@ -151,7 +151,7 @@
 
 
 def outcome_of(message: ForwardAnswer) -> Outcome:
-    """Read the message that carries a request's outcome."""
+    """Return the request's outcome in a message."""
     match message.outcome:
         case "done":
             return Done(
