--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -16,7 +16,7 @@
 from hornbeampaddle.cell.interference import PRIOR_SLOPE, Interference
 from hornbeampaddle.cell.scheduler import Scheduler
 from hornbeampaddle.cell.separating import Separator
-from hornbeampaddle.cell.swings import Swings
+from hornbeampaddle.cell.slack_forecast import SlackForecaster
 from hornbeampaddle_standins.cell.demand import Demand
 from hornbeampaddle_standins.cell.emulator import Emulator
 from hornbeampaddle_standins.cell.loads import LOADS
@@ -40,7 +40,7 @@
     "preemption": lambda: patch.object(dispatch, "make_room", _nothing),
     "kin": lambda: patch.object(placing, "KIN_MILLIS", 0),
     "outlook, kin in its place": lambda: patch.object(Scheduler, "outlook", _nothing),
-    "expected swings": lambda: patch.object(Swings, "choose", _nothing),
+    "expected swings": lambda: patch.object(SlackForecaster, "choose", _nothing),
     "exchanges": lambda: patch.object(Separator, "separate", _nothing),
     "moves of slow fillers": lambda: patch.object(
         moving, "move_slow_fillers", _nothing
--- a/features/steps/outlook_steps.py
+++ b/features/steps/outlook_steps.py
@@ -20,7 +20,7 @@
 def disturbing(context):
     model = Interference()
     model.inherit({"serve": {"fill": 6.0}})
-    model.swings = context.swings
+    model.forecaster = context.forecaster
     context.model = model
     context.outlook = Outlook(model, {"fill": 1.0}, context.load.now_s)
 
--- a/features/steps/swing_steps.py
+++ b/features/steps/swing_steps.py
@@ -5,7 +5,7 @@
 
 from behave import given, then, when
 
-from hornbeampaddle.cell.swings import Swings
+from hornbeampaddle.cell.slack_forecast import SlackForecaster
 
 BEGIN_S = 1000.0
 TICK_S = 0.13
@@ -31,7 +31,7 @@
         angle = 2 * math.pi * at_s / self.period_s + self.phases[job_id]
         return LEVEL + SWING * math.sin(angle)
 
-    def read(self, swings, seconds_s):
+    def read(self, forecaster, seconds_s):
         self.last = {}
         end_s = self.now_s + seconds_s
         while self.now_s < end_s:
@@ -39,9 +39,9 @@
                 if self.random.random() < 0.6:
                     value = self.slack(job_id, self.now_s)
                     value += self.random.gauss(0, NOISE)
-                    swings.observe(job_id, value, self.now_s)
+                    forecaster.observe(job_id, value, self.now_s)
                     self.last.setdefault(job_id, []).append((self.now_s, value))
-            swings.choose(self.now_s)
+            forecaster.choose(self.now_s)
             self.now_s += TICK_S
 
     def miss(self, expected, ahead_s, job_ids=None):
@@ -56,8 +56,8 @@
 @given("10 serving jobs whose load swings every {period_s:g} s, read for {span_s:g} s")
 def swinging(context, period_s, span_s):
     context.load = Load(period_s)
-    context.swings = Swings()
-    context.load.read(context.swings, span_s)
+    context.forecaster = SlackForecaster()
+    context.load.read(context.forecaster, span_s)
 
 
 @given("10 serving jobs whose load is steady, read for {span_s:g} s")
@@ -67,7 +67,7 @@
 
 @then("the period is found to within {percent:g} %")
 def period(context, percent):
-    found_s = context.swings.period_s
+    found_s = context.forecaster.period_s
     assert found_s is not None
     off = abs(found_s / context.load.period_s - 1)
     assert off <= percent / 100, found_s
@@ -75,14 +75,14 @@
 
 @then("no period is found")
 def no_period(context):
-    assert context.swings.period_s is None, context.swings.period_s
+    assert context.forecaster.period_s is None, context.forecaster.period_s
 
 
 @then("the slack in {ahead_s:g} s is expected to within {most:g}")
 def expected(context, ahead_s, most):
     load = context.load
     missed = load.miss(
-        lambda job_id, s: context.swings.expected(job_id, load.now_s + s), ahead_s
+        lambda job_id, s: context.forecaster.expected(job_id, load.now_s + s), ahead_s
     )
     assert missed < most, missed
 
@@ -101,9 +101,9 @@
 
 @when("another holder begins with what the last one stored")
 def taken_over(context):
-    context.next = Swings()
-    context.next.inherit(context.swings.period_s)
-    context.newcomer = Swings()
+    context.next = SlackForecaster()
+    context.next.inherit(context.forecaster.period_s)
+    context.newcomer = SlackForecaster()
 
 
 @when("it reads for {span_s:g} s")
@@ -137,14 +137,14 @@
 @when("one more job with that period is read for {span_s:g} s")
 def one_more(context, span_s):
     context.load.phases["late"] = 2.2
-    context.load.read(context.swings, span_s)
+    context.load.read(context.forecaster, span_s)
 
 
 @then("its slack in {ahead_s:g} s is expected to within {most:g}")
 def late_expected(context, ahead_s, most):
     load = context.load
     missed = load.miss(
-        lambda job_id, s: context.swings.expected(job_id, load.now_s + s),
+        lambda job_id, s: context.forecaster.expected(job_id, load.now_s + s),
         ahead_s,
         ["late"],
     )
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/holder.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/holder.py
@@ -120,7 +120,7 @@
         now_s = self.clock.now_s()
         self.cell.model.inherit(self.ledger.slopes)
         if self.ledger.period_s is not None:
-            self.cell.model.swings.inherit(self.ledger.period_s)
+            self.cell.model.forecaster.inherit(self.ledger.period_s)
         self.cell.lapses.inherit(self.ledger.lapses_at_s)
         for job_id in self.ledger.jobs:
             self._add_job(job_id, now_s)
@@ -376,7 +376,7 @@
             return []
         self._learned_at_s = now_s + LEARNED_EVERY_S
         records = [slopes_record(self.cell.model.table())]
-        period_s = self.cell.model.swings.period_s
+        period_s = self.cell.model.forecaster.period_s
         if period_s is not None:
             records.append(period_record(period_s))
         return records
--- a/packages/hornbeampaddle/hornbeampaddle/cell/advice.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/advice.py
@@ -1,10 +1,10 @@
 """
-Keep the advice of the service that says which workers may run a step.
+Cache answers of the advice service on which workers may run a step.
 
-Which workers may run a step never changes during their lives; only tickets
-expire. So what was answered about a worker is kept until the step is done, and
-a question names only workers that nothing is known of, or whose ticket is over, and
-again those that were new when they were first named.
+Whether a worker may run a step never changes during the worker's life; only its ticket
+expires. So an answer about a worker is cached until the step is done. A question names
+only workers without a cached answer, workers whose ticket has expired and, once more,
+workers that were new when they were first asked about.
 """
 
 from collections.abc import Collection
@@ -20,16 +20,16 @@
 if TYPE_CHECKING:
     from .scheduler import Scheduler
 
-# The service of advice answers one question at a time for each caller: after a
-# question without an answer it may be busy or away.
-ADVICE_PAUSE_S = 0.3
-# The service may learn of a new worker up to this much later than the holder.
+# Pause after a question without an answer. The advice service answers one question at a
+# time for each caller, and may be busy or unreachable.
+ADVICE_BACKOFF_S = 0.3
+# Time by which the advice service may learn of a new worker later than the holder.
 DISCOVERY_DELAY_S = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class Allowance:
-    """Which workers may run a step, each with its ticket, until when."""
+    """An advice answer: tickets of the workers that may run a step, and expiry."""
 
     tickets: dict[str, str]
     valid_until_s: float
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ticket:
-    """What a start on one worker carries, and until when."""
+    """Authorization to run a step on one worker, sent in the start order; expires."""
 
     text: str
     valid_until_s: float
@@ -46,22 +46,22 @@
 @dataclass(slots=True)
 class StepAdvice:
     """
-    What is known of one step.
+    Cached answers about one step.
 
-    ``allowed`` holds the last ticket of each worker that may run the step,
-    ``refused`` the workers that may not, ``asked`` those of the open question,
-    ``ask_again_at_s`` when to ask again about each worker that the service may not
-    have known.
+    ``allowed`` holds the latest ticket of each worker that may run the step,
+    ``refused`` the workers that may not, ``asked`` those named in the open question.
+    ``ask_again_at_s`` holds the time at which to ask again about each worker that the
+    service may not have known yet. No question is sent before ``backoff_until_s``.
     """
 
     allowed: dict[str, Ticket] = field(default_factory=dict)
     refused: set[str] = field(default_factory=set)
     asked: tuple[str, ...] = ()
     ask_again_at_s: dict[str, float] = field(default_factory=dict)
-    rests_until_s: float = float("-inf")
+    backoff_until_s: float = float("-inf")
 
-    def take(self, allowance: Allowance) -> None:
-        """Take in an answer beside those that came before."""
+    def merge(self, allowance: Allowance) -> None:
+        """Add an answer to those received before."""
         until_s = allowance.valid_until_s
         for worker_id, text in allowance.tickets.items():
             self.allowed[worker_id] = Ticket(text, until_s)
@@ -70,15 +70,19 @@
         self.refused.update(missing - self.ask_again_at_s.keys())
 
     def valid(self, now_s: float) -> dict[str, str]:
-        """Return the tickets that have not expired, by worker."""
+        """Return the tickets that have not expired, by worker id."""
         return {
             worker_id: ticket.text
             for worker_id, ticket in self.allowed.items()
             if ticket.valid_until_s > now_s
         }
 
-    def keep(self, worker_ids: Collection[str]) -> None:
-        """Forget the workers that are gone; a lasting step outlives many."""
+    def retain(self, worker_ids: Collection[str]) -> None:
+        """
+        Remove all workers but these.
+
+        A lasting step outlives many workers, and its entries would accumulate.
+        """
         self.refused.intersection_update(worker_ids)
         for worker_id in self.ask_again_at_s.keys() - worker_ids:
             del self.ask_again_at_s[worker_id]
@@ -87,32 +91,32 @@
 
 
 @dataclass(slots=True)
-class AdviceBook:
-    """Advice that was given, and questions that are open."""
+class AdviceCache:
+    """Answers of the advice service and open questions, by step."""
 
     steps: dict[StepKey, StepAdvice] = field(default_factory=dict)
 
-    def about(self, step: StepKey) -> StepAdvice:
-        """Return what is known of a step."""
+    def for_step(self, step: StepKey) -> StepAdvice:
+        """Return the cached answers about a step, empty for a new step."""
         return self.steps.setdefault(step, StepAdvice())
 
     def answer(self, step: StepKey, allowance: Allowance | None, now_s: float) -> None:
-        """Take in an answer; nothing means that none came."""
-        advice = self.about(step)
+        """Process the answer to the open question, or None if there was no answer."""
+        advice = self.for_step(step)
         if allowance is None:
-            advice.rests_until_s = now_s + ADVICE_PAUSE_S
+            advice.backoff_until_s = now_s + ADVICE_BACKOFF_S
             for worker_id in advice.asked:
                 advice.ask_again_at_s.pop(worker_id, None)
         else:
-            advice.take(allowance)
+            advice.merge(allowance)
         advice.asked = ()
 
-    def close(self, step: StepKey) -> None:
-        """Forget a step that needs no worker any more."""
+    def forget_step(self, step: StepKey) -> None:
+        """Remove a step that needs no more workers."""
         self.steps.pop(step, None)
 
-    def drop(self, key: TaskKey, worker_id: str) -> None:
-        """Forget a worker's ticket for a task's step; it did not accept it."""
+    def drop_ticket(self, key: TaskKey, worker_id: str) -> None:
+        """Remove a worker's ticket for a task's step, which the worker rejected."""
         advice = self.steps.get(StepKey(*key[:3]))
         if advice is not None:
             advice.allowed.pop(worker_id, None)
@@ -126,19 +130,19 @@
     now_s: float,
 ) -> dict[str, str]:
     """
-    Return the ticket of each worker with room that may run a step.
+    Return the ticket of each worker that may run a step and has room for it.
 
-    While these have no room for all tasks that wait, a question about others
-    goes out with the decision.
+    If these workers have no room for all waiting tasks of the step, a question about
+    other workers is added to the decision.
     """
-    advice = cell.advice.about(step.key)
+    advice = cell.advice.for_step(step.key)
     valid = advice.valid(now_s)
     room = [w for w in workers if _fits(step, w)]
-    open_ = [w for w in room if w.worker_id in valid]
-    may_ask = not advice.asked and advice.rests_until_s <= now_s
-    if may_ask and not _holds_all(cell, step, open_):
+    allowed_workers = [w for w in room if w.worker_id in valid]
+    may_ask = not advice.asked and advice.backoff_until_s <= now_s
+    if may_ask and not _have_room_for_all(cell, step, allowed_workers):
         _ask(cell, decision, step, advice, room, valid, now_s)
-    return {w.worker_id: valid[w.worker_id] for w in open_}
+    return {w.worker_id: valid[w.worker_id] for w in allowed_workers}
 
 
 def _ask(
@@ -151,14 +155,14 @@
     now_s: float,
 ) -> None:
     """
-    Ask about workers with room whose part in the step is not known.
+    Ask about workers that have room and no valid cached answer.
 
-    Guards against a step that waits for ever beside workers that may run it:
-    the same first workers named in each question would hide all others. Each
-    worker that may not run the step is named once, a new one again later, so the
-    questions come to everyone, and then end.
+    Naming the same first workers in each question would never reach the others, and a
+    step would wait for ever although workers may run it. So each worker that may not
+    run the step is named once, and a new worker once more later: the questions reach
+    every worker and then end.
     """
-    advice.keep(cell.workers.keys())
+    advice.retain(cell.workers.keys())
     names = [w.worker_id for w in room]
     again = [name for name in names if name in advice.allowed and name not in valid]
     known = advice.allowed.keys() | advice.refused
@@ -172,10 +176,10 @@
 
 def _schedule_retries(cell: "Scheduler", advice: StepAdvice, now_s: float) -> None:
     """
-    Set when to ask again about new workers that the answer may leave out.
+    Set when to ask again about new workers that the answer may omit.
 
-    Guards against a step that never starts because a worker that the service did not
-    know yet is taken as refused.
+    The advice service may not know a new worker yet. If its absence from the answer
+    counted as a refusal, the step might never start.
     """
     for name in advice.asked:
         if now_s - cell.workers[name].listed_at_s < DISCOVERY_DELAY_S:
@@ -184,23 +188,27 @@
             advice.ask_again_at_s.pop(name, None)
 
 
-def _holds_all(cell: "Scheduler", step: StepState, workers: list[WorkerState]) -> bool:
+def _have_room_for_all(
+    cell: "Scheduler", step: StepState, workers: list[WorkerState]
+) -> bool:
     """
-    Tell whether workers have room for every task of a step that waits.
+    Return whether workers have room for every waiting task of a step.
 
-    Guards against a gang that waits for ever, or tasks that wait longer than
-    they must, because one allowed worker with room for some was found.
+    If one allowed worker with room for some tasks were enough to end the questions, a
+    gang would wait for ever, and other tasks longer than necessary.
     """
     missing = len(step.waiting())
     for worker in workers:
-        missing -= _slots(cell, step, worker, missing)
+        missing -= _startable_count(cell, step, worker, missing)
         if missing <= 0:
             return True
     return False
 
 
-def _slots(cell: "Scheduler", step: StepState, worker: WorkerState, most: int) -> int:
-    """Count the tasks of a step, up to some number, that may start on a worker."""
+def _startable_count(
+    cell: "Scheduler", step: StepState, worker: WorkerState, limit: int
+) -> int:
+    """Return how many tasks of a step may start on a worker, up to a limit."""
     wanted = step.step
     if wanted.filler and allowed_share(wanted, worker, cell.model) < 1.0:
         return 0
@@ -209,10 +217,10 @@
             task.run is not None and task.run.worker_id == worker.worker_id
             for task in step.tasks
         )
-        most = min(most, wanted.per_worker_max - here)
-    while most > 0 and not wanted.charge.times(most).fits_in(worker.free()):
-        most -= 1
-    return max(0, most)
+        limit = min(limit, wanted.per_worker_max - here)
+    while limit > 0 and not wanted.charge.times(limit).fits_in(worker.free()):
+        limit -= 1
+    return max(0, limit)
 
 
 def _fits(step: StepState, worker: WorkerState) -> bool:
--- a/packages/hornbeampaddle/hornbeampaddle/cell/candidates.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/candidates.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class FillerHeadroom:
+class WorkerHeadroom:
     """
     The largest filler of an image that a worker can accept.
 
@@ -58,7 +58,7 @@
         self._usable = usable
         self._model = model
         self._groups: dict[tuple[str, str], WorkerGroup] = {}
-        self._headrooms: dict[tuple[str, str, str], list[FillerHeadroom]] = {}
+        self._headrooms: dict[tuple[str, str, str], list[WorkerHeadroom]] = {}
 
     def suited(self, service: str, step: Step) -> list[WorkerState]:
         """Return the workers that could ever run a task of a step."""
@@ -95,29 +95,27 @@
         """Return the workers where a filler does not interfere, busy or not."""
         return (headroom.worker for headroom in self._undisturbed(service, step))
 
-    def _undisturbed(self, service: str, step: Step) -> Iterator[FillerHeadroom]:
+    def _undisturbed(self, service: str, step: Step) -> Iterator[WorkerHeadroom]:
         minimum = step.need.cpu_millis - ROUNDING_MILLIS
         headrooms = self._headrooms_for(service, step)
         return takewhile(
             lambda headroom: headroom.undisturbed_millis >= minimum, headrooms
         )
 
-    def _headrooms_for(self, service: str, step: Step) -> list[FillerHeadroom]:
+    def _headrooms_for(self, service: str, step: Step) -> list[WorkerHeadroom]:
         """Return the filler headroom of each worker, the largest first."""
         key = (service, step.worker_label, step.image)
         headrooms = self._headrooms.get(key)
         if headrooms is None:
             workers = self._group(service, step).workers
-            headrooms = [
-                self._filler_headroom(worker, step.image) for worker in workers
-            ]
+            headrooms = [self._headroom_of(worker, step.image) for worker in workers]
             headrooms.sort(
                 key=lambda headroom: headroom.undisturbed_millis, reverse=True
             )
             self._headrooms[key] = headrooms
         return headrooms
 
-    def _filler_headroom(self, worker: WorkerState, image: str) -> FillerHeadroom:
+    def _headroom_of(self, worker: WorkerState, image: str) -> WorkerHeadroom:
         undisturbed_millis = 0.0
         if worker.over_since_s is None:
             room = worker.filler_headroom(image, self._model)
@@ -126,7 +124,7 @@
         spare_millis = math.inf
         if worker.filler_cpu_millis:
             spare_millis = worker.spare_cpu_millis()
-        return FillerHeadroom(undisturbed_millis, spare_millis, worker)
+        return WorkerHeadroom(undisturbed_millis, spare_millis, worker)
 
 
 def _minimum_of(workers: Iterable[WorkerState]) -> Resources:
--- a/packages/hornbeampaddle/hornbeampaddle/cell/dispatch.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/dispatch.py
@@ -53,8 +53,8 @@
         turn = Turn(cell, decision, candidates, unplaceable, state, step, suited, now_s)
         reason = _place_step(turn)
         if reason is not None:
-            cell.waits.see(state, step, suited, reason, now_s)
-    cell.waits.close(cell, now_s)
+            cell.waits.record_unplaced(state, step, suited, reason, now_s)
+    cell.waits.end_decision(cell, now_s)
 
 
 def _ready_steps(
@@ -70,7 +70,7 @@
                     continue
                 if step.ready_at_s is None:
                     step.ready_at_s = now_s
-                yield urgency(state, step, cell.usual_work, now_s), state, step
+                yield urgency(state, step, cell.mean_work, now_s), state, step
 
 
 def _open_due_occurrences(cell: "Scheduler", state: JobState, wall_s: float) -> None:
--- a/packages/hornbeampaddle/hornbeampaddle/cell/intake.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/intake.py
@@ -133,7 +133,7 @@
         task.checkpoint = ""
         task.run = None
         if step.done:
-            self.cell.advice.close(step.key)
+            self.cell.advice.forget_step(step.key)
         if run is not None and run.key in self._runs_on(run.worker_id):
             # An attempt that had been released has succeeded after all.
             self.cell.stop(run, "already_done")
--- a/packages/hornbeampaddle/hornbeampaddle/cell/interference.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/interference.py
@@ -1,79 +1,85 @@
 """
-Learn how much fillers disturb tasks that serve, from the reports alone.
-
-The slack of a serving task is its target over its tail: 1 at the target, more when
-it does better. As in a queue with one server it falls in proportion to the load of
-the task's users and to the processor use of the fillers that disturb it, taken as a
-share of the worker. The slopes fall into two groups: near 0 for the pairs of images
-that do not disturb, several times the slack at the target for the others.
-
-The tasks of one job share the load of its users, wherever they run. What the
-fillers do not explain, in most of a job's tasks alike, is that load: the job's own
-slack, which it would have with no filler beside it. Readings count less as they age,
-since the amounts change.
+Estimate from worker reports how much fillers slow down serving tasks.
+
+The slack of a serving task is its latency target divided by its tail latency: 1 at the
+target, more when the task is faster. As in a single-server queue, slack falls linearly
+with the load of the task's users and with the CPU use of the fillers that interfere,
+as a share of the worker. The slopes form two groups: near 0 for pairs of images that do
+not interfere, several times the slack at the target for the others.
+
+The tasks of one job share the load of its users, wherever they run. The part of the
+slack that fillers do not explain, and that most of a job's tasks have in common, is
+that load: the job's baseline slack, which its tasks have with no filler beside them.
+Readings lose weight with age, since the slopes and the loads change.
 """
 
 from dataclasses import dataclass, field
 
 from .jobs import TaskKey
-from .swings import Swings
+from .slack_forecast import SlackForecaster
 
-# A reading loses half of its weight in about this many seconds.
+# Half-life of a reading's weight.
 HALF_LIFE_S = 25.0
-# The fit is solved again after so long; readings come every half second.
-SOLVE_EVERY_S = 1.0
-# Slope of a pair that has not been seen: a filler of a tenth of a worker takes 0.15 of
-# slack, so a few of them may try a pair out where there is room.
+# Interval between two fits; readings arrive every half second.
+SOLVE_INTERVAL_S = 1.0
+# Slope assumed for a pair of images without readings: a filler that uses a tenth of a
+# worker takes 0.15 of slack, so a few of them may run where there is room, and give
+# readings of the pair.
 PRIOR_SLOPE = 1.5
-# Weight of that prior, in units of squared shares: a few seconds of a filler that uses
-# a tenth of a worker.
+# Weight of that prior, in squared worker shares: equal to a few seconds of readings
+# with a filler that uses a tenth of a worker.
 PRIOR_WEIGHT = 0.05
-# Weight of a slope that an earlier holder had learned: about a second of its
-# readings, since the amounts change.
+# Weight of a slope inherited from a previous holder: equal to about one second of that
+# holder's readings, since slopes change.
 INHERITED_WEIGHT = 0.6
-# A job with no reading is taken to have this slack: half as much again as its target,
-# where the users' jobs are at their highest load.
-PRIOR_OWN = 1.6
-# Weight of the constant part of a fit, by which an image's tasks differ from what
-# their jobs' own slack says.
+# Baseline slack assumed for a job without readings: about one and a half times the
+# slack at the target, as jobs have at their users' highest load.
+PRIOR_BASELINE_SLACK = 1.6
+# Ridge penalty on the constant term of a fit, which is the difference between the slack
+# of an image's tasks and the baseline slack of their jobs.
 CONSTANT_WEIGHT = 2.0
-# A reading is a figure of the last half second: of its middle.
+# A reading covers the last half second and is dated to its middle.
 READING_AGE_S = 0.25
-# Slack beyond these bounds says only "far too little" or "plenty".
+# Bounds to which slack is clamped; values beyond them mean only "far too little" or
+# "plenty".
 SLACK_MIN = 0.1
 SLACK_MAX = 8.0
-# Smaller slopes are the noise of the fit, and count as none.
-SLOPE_NOISE = 0.5
-# A pair with a smaller slope counts as harmless: a worker full of such fillers takes
-# less slack than one swing of its users' load.
-HARMLESS_SLOPE = 1.0
-# Two serving images are compared by at least so many filling images.
-LIKENESS_IMAGES_MIN = 3
-# Bounds on memory: images beyond these are treated by the prior.
+# Smaller slopes are noise of the fit and are treated as 0.
+NOISE_SLOPE_MAX = 0.5
+# Slope below which a pair of images counts as harmless: a worker full of such fillers
+# takes less slack than one oscillation of its users' load.
+HARMLESS_SLOPE_MAX = 1.0
+# Filling images that two serving images must have in common to be compared.
+SIMILARITY_IMAGES_MIN = 3
+# Bounds on memory; images beyond them are treated by the prior.
 SERVING_IMAGES_MAX = 64
 FILLING_IMAGES_MAX = 64
 
 
 @dataclass(slots=True)
 class _Fit:
-    """Normal equations of one serving image: a constant and a slope a filler."""
+    """
+    Least-squares fit for one serving image, as normal equations.
+
+    The unknowns are a constant and one slope for each filling image.
+    """
 
     columns: dict[str, int] = field(default_factory=dict)
     matrix: list[list[float]] = field(default_factory=lambda: [[0.0]])
     right: list[float] = field(default_factory=lambda: [0.0])
     slopes: dict[str, float] = field(default_factory=dict)
-    # What an earlier holder had learned.
+    # Slopes that a previous holder learned.
     inherited: dict[str, float] = field(default_factory=dict)
 
     def add(self, uses: dict[str, float], loss: float) -> None:
-        cells = [(0, 1.0)]
+        entries = [(0, 1.0)]
         for image, use in uses.items():
             column = self._column(image)
             if column:
-                cells.append((column, use))
-        for row, left in cells:
+                entries.append((column, use))
+        for row, left in entries:
             target = self.matrix[row]
-            for column, right in cells:
+            for column, right in entries:
                 target[column] += left * right
             self.right[row] += left * loss
 
@@ -92,16 +98,16 @@
         return column
 
     def known(self) -> dict[str, float]:
-        """Return all slopes, also those that were only inherited."""
+        """Return all slopes, including those that are only inherited."""
         return {**self.inherited, **self.slopes}
 
-    def solve(self, kept: float) -> None:
-        """Age the readings by a factor and fit again."""
+    def solve(self, decay: float) -> None:
+        """Multiply the weight of all readings by a factor and fit again."""
         size = len(self.right)
         for row in self.matrix:
             for column in range(size):
-                row[column] *= kept
-        self.right = [value * kept for value in self.right]
+                row[column] *= decay
+        self.right = [value * decay for value in self.right]
         matrix = [row[:] for row in self.matrix]
         right = self.right[:]
         matrix[0][0] += CONSTANT_WEIGHT
@@ -117,7 +123,11 @@
 
 
 def solve_linear(matrix: list[list[float]], right: list[float]) -> list[float]:
-    """Solve a positive definite system in place by elimination."""
+    """
+    Solve a positive definite linear system by Gaussian elimination.
+
+    Both arguments are overwritten.
+    """
     size = len(right)
     for pivot in range(size):
         row = matrix[pivot]
@@ -139,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reading:
-    """The tail of one task: ``slack`` is its target over its tail."""
+    """The slack of one task: its latency target over its tail latency."""
 
     key: TaskKey
     image: str
@@ -147,36 +157,36 @@
 
 
 class Interference:
-    """What is known of all pairs of serving and filling images."""
+    """The interference model of all pairs of serving and filling images."""
 
     def __init__(self) -> None:
-        """Start with the prior alone."""
+        """Start with the prior only."""
         self._fits: dict[str, _Fit] = {}
-        self._solve_at_s = float("-inf")
-        # Worked out when first asked for, until the fits change.
-        self._likeness: dict[tuple[str, str], float] = {}
-        self.swings = Swings()
+        self._solved_at_s = float("-inf")
+        # Cache of similarities, cleared when the fits change.
+        self._similarities: dict[tuple[str, str], float] = {}
+        self.forecaster = SlackForecaster()
 
     def observe(
         self, readings: list[Reading], uses: dict[str, float], now_s: float
     ) -> None:
         """
-        Take in the tails on one worker.
+        Add the readings of the serving tasks on one worker.
 
-        ``uses`` is the processor use of each filling image there, as a share of
-        the worker's capacity.
+        ``uses`` is the CPU use of each filling image there, as a share of the worker's
+        capacity.
         """
         at_s = now_s - READING_AGE_S
         for reading in readings:
             job_id = reading.key.job_id
             slack = min(SLACK_MAX, max(SLACK_MIN, reading.slack))
-            own = self.swings.expected(job_id, at_s)
-            if own is not None:
+            baseline_slack = self.forecaster.expected(job_id, at_s)
+            if baseline_slack is not None:
                 fit = self._fit(reading.image)
                 if fit is not None:
-                    fit.add(uses, own - slack)
-            alone = slack + self.pressure(reading.image, uses)
-            self.swings.observe(job_id, alone, at_s)
+                    fit.add(uses, baseline_slack - slack)
+            alone = slack + self.slack_loss(reading.image, uses)
+            self.forecaster.observe(job_id, alone, at_s)
 
     def _fit(self, serving: str) -> _Fit | None:
         fit = self._fits.get(serving)
@@ -184,33 +194,33 @@
             fit = self._fits[serving] = _Fit()
         return fit
 
-    def pressure(self, serving: str, uses: dict[str, float]) -> float:
-        """Return how much slack fillers take from a serving image."""
+    def slack_loss(self, serving: str, uses: dict[str, float]) -> float:
+        """Return the slack that fillers take from a serving image."""
         return sum(self.slope(serving, image) * use for image, use in uses.items())
 
-    def own(self, job_id: str, from_s: float, ahead_s: float = 0.0) -> float:
-        """Return the lowest own slack that a job is expected to have in a span."""
-        own = self.swings.lowest(job_id, from_s, from_s + ahead_s)
-        return PRIOR_OWN if own is None else own
+    def baseline_slack(self, job_id: str, from_s: float, ahead_s: float = 0.0) -> float:
+        """Return the lowest expected baseline slack of a job in a time span."""
+        baseline_slack = self.forecaster.lowest(job_id, from_s, from_s + ahead_s)
+        return PRIOR_BASELINE_SLACK if baseline_slack is None else baseline_slack
 
     def solve(self, now_s: float) -> None:
-        """Fit again, if the last time was long ago."""
-        self.swings.choose(now_s)
-        if now_s < self._solve_at_s + SOLVE_EVERY_S:
+        """Update the forecasts and the fits, if they are due."""
+        self.forecaster.choose(now_s)
+        if now_s < self._solved_at_s + SOLVE_INTERVAL_S:
             return
-        passed_s = min(SOLVE_EVERY_S * 5, now_s - self._solve_at_s)
-        self._solve_at_s = now_s
-        kept = 0.5 ** (passed_s / HALF_LIFE_S)
+        elapsed_s = min(SOLVE_INTERVAL_S * 5, now_s - self._solved_at_s)
+        self._solved_at_s = now_s
+        decay = 0.5 ** (elapsed_s / HALF_LIFE_S)
         for fit in self._fits.values():
-            fit.solve(kept)
-        self._likeness.clear()
+            fit.solve(decay)
+        self._similarities.clear()
 
     def slope(self, serving: str, filling: str) -> float:
-        """Return the slack that a filler takes for each worker that it fills."""
+        """Return the slack that a filler takes if it uses a whole worker."""
         known = self._known_slope(serving, filling)
         if known is None:
             return PRIOR_SLOPE
-        return known if known >= SLOPE_NOISE else 0.0
+        return known if known >= NOISE_SLOPE_MAX else 0.0
 
     def _known_slope(self, serving: str, filling: str) -> float | None:
         fit = self._fits.get(serving)
@@ -219,27 +229,29 @@
         return fit.slopes.get(filling, fit.inherited.get(filling))
 
     def harmless(self, serving: str, filling: str) -> bool:
-        """Tell whether a filling image is known to disturb a serving one little."""
+        """Return whether a filling image is known to affect a serving one little."""
         known = self._known_slope(serving, filling)
-        return known is not None and known < HARMLESS_SLOPE
+        return known is not None and known < HARMLESS_SLOPE_MAX
 
-    def likeness(self, left: str, right: str) -> float:
+    def similarity(self, left: str, right: str) -> float:
         """
-        Return how alike two serving images are in what disturbs them, 0 to 1.
+        Return the share of filling images that affect two serving images alike, 0 to 1.
 
-        Images of which nothing is known are not alike.
+        It is 0 for images with too few learned slopes in common.
         """
         if left == right:
             return 1.0
-        likeness = self._likeness.get((left, right))
-        if likeness is None:
-            likeness = self._compare(left, right)
-            self._likeness[left, right] = self._likeness[right, left] = likeness
-        return likeness
+        similarity = self._similarities.get((left, right))
+        if similarity is None:
+            similarity = self._compare(left, right)
+            self._similarities[left, right] = self._similarities[right, left] = (
+                similarity
+            )
+        return similarity
 
     def _compare(self, left: str, right: str) -> float:
         fillers = self._filling_images(left) & self._filling_images(right)
-        if len(fillers) < LIKENESS_IMAGES_MIN:
+        if len(fillers) < SIMILARITY_IMAGES_MIN:
             return 0.0
         same = sum(
             self.harmless(left, filling) is self.harmless(right, filling)
@@ -252,13 +264,13 @@
         return set(fit.known()) if fit is not None else set()
 
     def table(self) -> dict[str, dict[str, float]]:
-        """Return the slopes that were learned, to be logged or stored."""
+        """Return the learned slopes by serving and filling image, for log and store."""
         return {
             serving: {image: round(slope, 1) for image, slope in fit.known().items()}
             for serving, fit in self._fits.items()
         }
 
     def inherit(self, table: dict[str, dict[str, float]]) -> None:
-        """Begin with the slopes that an earlier holder stored."""
+        """Start with the slopes that a previous holder stored."""
         for serving, slopes in list(table.items())[:SERVING_IMAGES_MAX]:
             self._fits[serving] = _Fit(inherited=dict(slopes))
--- a/packages/hornbeampaddle/hornbeampaddle/cell/orders.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/orders.py
@@ -49,7 +49,7 @@
                     run.progressed_at_s = now_s
                 if run.confirmed_at_s == float("inf"):
                     run.confirmed_at_s = now_s
-                    self.cell.pacer.begin(worker, run, now_s)
+                    self.cell.pacer.set_initial_pace(worker, run, now_s)
                 return None
             case NoAnswer():
                 return self._resend_after_s(run)
@@ -96,7 +96,7 @@
         if reason is Reason.FENCED:
             return None
         if reason is Reason.TICKET:
-            self.cell.advice.drop(run.key, worker.worker_id)
+            self.cell.advice.drop_ticket(run.key, worker.worker_id)
         if reason in (Reason.UNWELL, Reason.NO_ROOM):
             worker.rest_until_s = max(
                 worker.rest_until_s, now_s + self.cell.settings.unwell_s
--- a/packages/hornbeampaddle/hornbeampaddle/cell/placing.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/placing.py
@@ -240,7 +240,7 @@
     same_job = worker.serving_jobs.get(job_id, 0)
     similar = -same_job * SAME_IMAGE_WEIGHT
     for name, count in worker.serving.items():
-        similar += count * SAME_IMAGE_WEIGHT * model.likeness(image, name)
+        similar += count * SAME_IMAGE_WEIGHT * model.similarity(image, name)
     return (same_job + similar) / total
 
 
--- a/packages/hornbeampaddle/hornbeampaddle/cell/scheduler.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/scheduler.py
@@ -14,7 +14,7 @@
 from ..machines import Address
 from ..resources import NOTHING
 from . import crashes, dispatch, moving, pacing
-from .advice import AdviceBook, Allowance
+from .advice import AdviceCache, Allowance
 from .effects import Decision, LogEntry, PaceOrder, StopOrder
 from .intake import ReportIntake
 from .interference import Interference
@@ -26,8 +26,8 @@
 from .sampling import Sampler
 from .separating import Separator
 from .settings import CellSettings
-from .urgency import UsualWork
-from .waiting import WaitBook
+from .urgency import MeanWork
+from .waiting import WaitTracker
 from .workers import WorkerListing, WorkerState
 
 # Added to the bound on a lease's end: orders have a network delay, and deadlines are
@@ -72,7 +72,7 @@
         )
         self.open_jobs: dict[str, JobState] = {}
         self.dirty: set[str] = set()
-        self.advice = AdviceBook()
+        self.advice = AdviceCache()
         self.queues: dict[str, Queue] = {}
         self.log = log or _discard_log_entry
         self.stops: list[StopOrder] = []
@@ -81,8 +81,8 @@
         self.pacer = pacing.Pacer(settings, self.model)
         self.separator = Separator(self)
         self.sampler = Sampler()
-        self.waits = WaitBook()
-        self.usual_work = UsualWork()
+        self.waits = WaitTracker()
+        self.mean_work = MeanWork()
         self.lapses = LeaseLapses()
         self._outlook: Outlook | None = None
         self._outlook_until_s = float("-inf")
@@ -111,7 +111,7 @@
         if not job.lasting:
             newest = [*self._recent_acceptances, (accepted_at_s, job.job_id)]
             self._recent_acceptances = sorted(newest, reverse=True)[:2]
-            self.usual_work.add(job)
+            self.mean_work.add(job)
         for run in state.runs():
             self._inherit(run, now_s)
             if state.status.final:
@@ -486,7 +486,7 @@
     def _close_advice(self, state: JobState) -> None:
         for steps in state.occurrences.values():
             for step in steps:
-                self.advice.close(step.key)
+                self.advice.forget_step(step.key)
 
     def take_advice(
         self, key: StepKey, allowance: Allowance | None, now_s: float
@@ -516,7 +516,7 @@
         if self.may_start(now_s):
             dispatch.place(self, decision, now_s, wall_s)
         decision.stops = self._take_stops(now_s)
-        decision.paces = self.pacer.take()
+        decision.paces = self.pacer.take_orders()
         for order in decision.paces:
             self._log_pace(order)
         for job_id in self.dirty:
--- a/packages/hornbeampaddle/hornbeampaddle/cell/separating.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/separating.py
@@ -17,7 +17,7 @@
 
 from ..resources import NOTHING, Resources
 from .jobs import TaskKey
-from .outlook import Kind, Outlook, serving_on
+from .outlook import Outlook, ServingKind, serving_on
 from .placing import suits
 from .progress import Run, RunPhase, StepState
 from .workers import WorkerState
@@ -66,7 +66,7 @@
     """
 
     worker: WorkerState
-    kinds: tuple[Kind, ...]
+    kinds: tuple[ServingKind, ...]
     reserved_millis: int
     value_millis: float
 
@@ -85,7 +85,7 @@
     gain_millis: float
 
     @property
-    def kind(self) -> Kind:
+    def kind(self) -> ServingKind:
         """Return the task's job id and image."""
         return (self.run.key.job_id, self.run.step.image)
 
@@ -236,7 +236,7 @@
     def _candidates_of(
         self, place: Place, outlook: Outlook, now_s: float
     ) -> Iterator[Candidate]:
-        seen: set[Kind] = set()
+        seen: set[ServingKind] = set()
         for run in place.worker.runs.values():
             kind = (run.key.job_id, run.step.image)
             if kind in seen or not self._may_move(run, now_s):
--- a/packages/hornbeampaddle/hornbeampaddle/cell/slow_starts.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/slow_starts.py
@@ -11,7 +11,7 @@
 from .placing import can_place, choose_for_slow_start, has_spare_cpu
 from .progress import JobState, Run, StepState
 from .turns import Turn
-from .urgency import AWAY_MAX_S
+from .urgency import LASTING_AWAY_MAX_S
 
 if TYPE_CHECKING:
     from .scheduler import Scheduler
@@ -50,7 +50,7 @@
     """
     waited_s = now_s - (step.ready_at_s or now_s)
     quiet = cell.since_last_arrival_s(step.key.job_id, now_s) >= QUIET_S
-    wait_max_s = AWAY_MAX_S if step.step.lasting else STARVED_AFTER_S
+    wait_max_s = LASTING_AWAY_MAX_S if step.step.lasting else STARVED_AFTER_S
     if not quiet and waited_s < wait_max_s:
         return False
     return left_idle(cell, state, step, now_s)
--- a/packages/hornbeampaddle/hornbeampaddle/cell/starting.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/starting.py
@@ -40,7 +40,7 @@
     if step.step.tail_target_s:
         # Estimate the load of the job's users from its other tasks; otherwise no filler
         # would be placed on this worker until the first report.
-        cell.pacer.note_own(worker, now_s)
+        cell.pacer.update_baseline_slack(worker, now_s)
     if not state.started:
         state.started = True
         state.status = JobStatus.ACTIVE
--- a/packages/hornbeampaddle/hornbeampaddle/cell/turns.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/turns.py
@@ -1,4 +1,4 @@
-"""What one decision knows of a step whose turn has come."""
+"""Context of the placement of one step within a scheduling decision."""
 
 from dataclasses import dataclass, field
 from typing import TYPE_CHECKING
@@ -18,10 +18,10 @@
 @dataclass(slots=True)
 class Turn:
     """
-    A step to place, and the decision that places it.
+    A step to place and the decision that it is part of.
 
-    ``workers`` are those that could run it, ``granted`` their tickets where the queue
-    takes advice.
+    ``workers`` are the workers that could run the step, ``granted`` their tickets by
+    worker id if the job's queue requires advice.
     """
 
     cell: "Scheduler"
@@ -41,11 +41,11 @@
 
     @property
     def advised(self) -> bool:
-        """Tell whether the queue takes advice on where a step may run."""
+        """Return whether the job's queue requires advice on workers."""
         return self.cell.advised(self.state.job)
 
     def ranking(self) -> Ranking:
-        """Return an empty ranking of workers for the step."""
+        """Return a ranking for the step, with no workers added yet."""
         return Ranking(
             self.step.key.job_id,
             self.step.step,
@@ -55,7 +55,7 @@
         )
 
     def start(self, task: Task, worker: WorkerState) -> Run:
-        """Book the next attempt of a task on a worker, and order its start."""
+        """Assign the next attempt of a task to a worker and order its start."""
         return start_task(
             self.cell,
             self.decision,
--- a/packages/hornbeampaddle/hornbeampaddle/cell/urgency.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/urgency.py
@@ -1,12 +1,13 @@
 """
-Put jobs into the order in which their tasks are placed.
+Order the steps of jobs for placement.
 
-Order: lasting tasks away for more than AWAY_MAX_S, then priority of the queue, then
-jobs that end before jobs that last, then jobs that can still be on time, then those
-whose callers get most for the work that is left. Jobs that last, or are repeated, go by
-the time by which they should be done.
+Sort keys, most significant first: lasting (long-running) steps with a task that has
+waited for its restart longer than ``LASTING_AWAY_MAX_S``; priority of the queue; jobs
+that end before lasting jobs; jobs that can still meet their objective; highest value
+for the caller per remaining work. Lasting and repeated jobs are ordered by due time
+instead of the last key.
 
-When more work comes than fits, the order by due time would begin many jobs and end few.
+Under overload, ordering all jobs by due time would start many jobs and complete few.
 """
 
 from dataclasses import dataclass, field
@@ -14,24 +15,28 @@
 from .jobs import Job
 from .progress import JobState, StepState
 
-# A job is worth little after its objective and nothing after three times that.
-WORTHLESS_AFTER_RATIO = 3.0
-# Callers count on a task that lasts being back after 6 s, and on 3 s more if there is a
-# place for it. Much sooner, it would be placed before the urgent jobs it made room for.
-AWAY_MAX_S = 5.0
-
-# A job is worth this much to its caller whatever its size, the rest goes by its work
-# against the mean of its queue, up to a bound.
-FIXED_WORTH = 0.3
-WORTH_MAX = 4.0
+# Multiple of its objective after which a job has no value; it has little value between
+# the objective and this.
+NO_VALUE_AFTER_RATIO = 3.0
+# Time that a lasting task waits for its restart before it precedes all other work.
+# Callers expect it to run again within 6 s, and 3 s more where there is room for it.
+# With a much shorter time it would be placed before the urgent jobs that it was stopped
+# for.
+LASTING_AWAY_MAX_S = 5.0
+
+# Part of a job's relative value that does not depend on its size, and upper bound of
+# that value. The other part is proportional to the job's work, relative to its queue's
+# mean.
+FIXED_VALUE = 0.3
+RELATIVE_VALUE_MAX = 4.0
 
 Urgency = tuple[bool, int, bool, int, float]
 
 
 @dataclass(slots=True)
-class UsualWork:
+class MeanWork:
     """
-    The mean work of each queue's jobs, by their estimates.
+    Mean estimated work of the jobs of each queue.
 
     Work is in thousandths of a core x s.
     """
@@ -40,54 +45,54 @@
     _counts: dict[str, int] = field(default_factory=dict)
 
     def add(self, job: Job) -> None:
-        """Count a job."""
+        """Add a job to the mean of its queue."""
         name = job.queue.name
         self._sums[name] = self._sums.get(name, 0.0) + job.work_millis_s()
         self._counts[name] = self._counts.get(name, 0) + 1
 
-    def worth(self, job: Job) -> float:
-        """Return what a job is worth, where one of mean work is worth 1."""
+    def relative_value(self, job: Job) -> float:
+        """Return the value of a job relative to one of its queue's mean work."""
         count = self._counts.get(job.queue.name, 0)
         mean = self._sums[job.queue.name] / count if count else 0.0
         if not mean:
             return 1.0
-        scaled = FIXED_WORTH + (1 - FIXED_WORTH) * job.work_millis_s() / mean
-        return min(WORTH_MAX, scaled)
+        scaled = FIXED_VALUE + (1 - FIXED_VALUE) * job.work_millis_s() / mean
+        return min(RELATIVE_VALUE_MAX, scaled)
 
 
-def urgency(
-    state: JobState, step: StepState, usual: UsualWork, now_s: float
-) -> Urgency:
-    """Return what a step is sorted by; the smallest comes first."""
+def urgency(state: JobState, step: StepState, usual: MeanWork, now_s: float) -> Urgency:
+    """Return the sort key of a step; the smallest is placed first."""
     job = state.job
     order = state.accepted_at_s + job.objective_s()
     chance = 0
     if not job.lasting and not job.repeat_count:
         chance = chance_of(state, now_s)
-        order = remaining_millis_s(state) / usual.worth(job)
-    # Guards against a task that lasts and stays away for as long as urgent jobs come:
-    # it was stopped to make room for one, and each later one was placed before it,
-    # including those from queues of higher priority.
-    overdue = step.step.lasting and step.interrupted_s(now_s) > AWAY_MAX_S
+        order = remaining_work_millis_s(state) / usual.relative_value(job)
+    # Prevents starvation of a lasting task that was preempted for an urgent job: while
+    # urgent jobs arrive, each of them would be placed before it, including those from
+    # queues of higher priority.
+    overdue = step.step.lasting and step.interrupted_s(now_s) > LASTING_AWAY_MAX_S
     return (not overdue, job.queue.priority, job.lasting, chance, order)
 
 
 def chance_of(state: JobState, now_s: float) -> int:
     """
-    Return 0 for a job that can still be on time, 1 for late, 2 for neither.
+    Return 0 if a job can still meet its objective, 1 if it is late, 2 if too late.
+
+    Too late means that the job has no value left when it ends.
 
-    When the queue is long, the first in line are those that are just too late:
-    serving them first makes every one behind them late as well.
+    In a long queue ordered by due time, the first jobs are those that are just too
+    late. Serving them first would make every job behind them late as well.
     """
     objective_s = state.job.objective_s()
-    end_s = now_s + remaining_chain_s(state) - state.accepted_at_s
+    end_s = now_s + remaining_critical_path_s(state) - state.accepted_at_s
     if end_s <= objective_s:
         return 0
-    return 1 if end_s <= WORTHLESS_AFTER_RATIO * objective_s else 2
+    return 1 if end_s <= NO_VALUE_AFTER_RATIO * objective_s else 2
 
 
-def remaining_millis_s(state: JobState) -> float:
-    """Return the estimated work of the tasks not yet done."""
+def remaining_work_millis_s(state: JobState) -> float:
+    """Return the estimated work of a job's unfinished tasks."""
     steps = state.occurrences.get(0)
     if steps is None:
         return state.job.work_millis_s()
@@ -97,8 +102,8 @@
     )
 
 
-def remaining_chain_s(state: JobState) -> float:
-    """Return the estimated length of the longest chain of steps not yet done."""
+def remaining_critical_path_s(state: JobState) -> float:
+    """Return the estimated time of the critical path through unfinished steps."""
     steps = state.occurrences.get(0)
     if steps is None:
         return state.job.chain_s()
--- a/packages/hornbeampaddle/hornbeampaddle/cell/waiting.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/waiting.py
@@ -1,8 +1,8 @@
 """
-Say why a job that could run does not.
+Log why waiting jobs are not placed.
 
-A start leaves a line in the log, a job that is never started leaves none: without
-these notes nobody can tell afterwards what it waited for.
+A start is logged, but a job that never starts leaves no log line. Without these notes
+it cannot be determined afterwards what the job waited for.
 """
 
 import math
@@ -18,19 +18,22 @@
 if TYPE_CHECKING:
     from .scheduler import Scheduler
 
-# Callers count on a job having something at work after 3 s.
+# Wait after which a job's reason is logged: callers expect a job to have a task running
+# within 3 s.
 NOTE_AFTER_S = 3.0
-# The reason rarely changes faster, and a long queue would fill the log.
-NOTE_EVERY_S = 5.0
-# Decisions come at least this often: a longer span was nobody's wait for a reason.
-DECISION_MAX_S = 0.5
-# Notes in one decision: a decision comes ten times a second, and each note looks at
-# all workers.
-NOTES_AT_ONCE = 3
+# Interval between two notes on a job. The reason rarely changes faster, and notes on a
+# long queue would fill the log.
+NOTE_INTERVAL_S = 5.0
+# Longest interval between two decisions. Time beyond it is not counted as waiting for a
+# reason.
+DECISION_INTERVAL_MAX_S = 0.5
+# Bound on the notes of one decision: there are ten decisions per second, and each note
+# scans all workers.
+NOTES_PER_DECISION_MAX = 3
 
 
 class WaitReason(Enum):
-    """Why a step whose turn has come was not placed."""
+    """Why a decision did not place a step."""
 
     NO_WORKER = "no_worker"
     EVACUATED = "evacuated"
@@ -48,9 +51,9 @@
 @dataclass(slots=True)
 class Wait:
     """
-    Since when a job has waited, and when that was last said.
+    When a job began to wait and when its reason was last logged.
 
-    A job waits while it has nothing at work, one that lasts while any task waits.
+    A job waits while none of its tasks runs, a lasting job while any task does not.
     """
 
     since_s: float
@@ -58,8 +61,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Sight:
-    """A job that waits, as one decision saw it."""
+class WaitObservation:
+    """A waiting job, with the step and reason recorded by one decision."""
 
     wait: Wait
     state: JobState
@@ -69,14 +72,14 @@
 
 
 @dataclass(slots=True)
-class WaitBook:
-    """The jobs that wait; a job that the last decision did not see is forgotten."""
+class WaitTracker:
+    """The waiting jobs; a job that the last decision did not record is removed."""
 
     waits: dict[str, Wait] = field(default_factory=dict)
-    _closed_at_s: float = math.inf
-    _seen: dict[str, Sight] = field(default_factory=dict)
+    _decision_ended_at_s: float = math.inf
+    _observed: dict[str, WaitObservation] = field(default_factory=dict)
 
-    def see(
+    def record_unplaced(
         self,
         state: JobState,
         step: StepState,
@@ -84,80 +87,91 @@
         reason: WaitReason,
         now_s: float,
     ) -> None:
-        """Take in that a step was not placed, since the decision before this one."""
+        """Record that this decision does not place a step, and add to its wait time."""
         job_id = state.job.job_id
-        passed_s = min(DECISION_MAX_S, max(0.0, now_s - self._closed_at_s))
-        state.waited_s[reason.value] = state.waited_s.get(reason.value, 0.0) + passed_s
-        if job_id in self._seen or not step.waiting():
+        elapsed_s = min(
+            DECISION_INTERVAL_MAX_S, max(0.0, now_s - self._decision_ended_at_s)
+        )
+        state.waited_s[reason.value] = state.waited_s.get(reason.value, 0.0) + elapsed_s
+        if job_id in self._observed or not step.waiting():
             return
         if state.runs() and not step.step.lasting:
             return
         wait = self.waits.get(job_id) or Wait(now_s)
-        self._seen[job_id] = Sight(wait, state, step, workers, reason)
+        self._observed[job_id] = WaitObservation(wait, state, step, workers, reason)
 
-    def close(self, cell: "Scheduler", now_s: float) -> None:
-        """End a decision: say why some jobs wait, first those not said for longest."""
-        self._closed_at_s = now_s
+    def end_decision(self, cell: "Scheduler", now_s: float) -> None:
+        """End a decision and log due reasons, longest unreported jobs first."""
+        self._decision_ended_at_s = now_s
         due = [
-            sight
-            for sight in self._seen.values()
-            if now_s - sight.wait.since_s >= NOTE_AFTER_S
-            and now_s - sight.wait.noted_at_s >= NOTE_EVERY_S
+            observation
+            for observation in self._observed.values()
+            if now_s - observation.wait.since_s >= NOTE_AFTER_S
+            and now_s - observation.wait.noted_at_s >= NOTE_INTERVAL_S
         ]
-        due.sort(key=lambda sight: (sight.wait.noted_at_s, sight.wait.since_s))
-        for sight in due[:NOTES_AT_ONCE]:
-            sight.wait.noted_at_s = now_s
-            cell.log(_note(cell, sight, now_s))
-        self.waits = {job_id: sight.wait for job_id, sight in self._seen.items()}
-        self._seen = {}
-
-
-def _note(cell: "Scheduler", sight: Sight, now_s: float) -> LogEntry:
-    step = sight.step
-    use_ratio = cell.use_ratio(cell.service_of(sight.state.job))
+        due.sort(
+            key=lambda observation: (
+                observation.wait.noted_at_s,
+                observation.wait.since_s,
+            )
+        )
+        for observation in due[:NOTES_PER_DECISION_MAX]:
+            observation.wait.noted_at_s = now_s
+            cell.log(_note(cell, observation, now_s))
+        self.waits = {
+            job_id: observation.wait for job_id, observation in self._observed.items()
+        }
+        self._observed = {}
+
+
+def _note(cell: "Scheduler", observation: WaitObservation, now_s: float) -> LogEntry:
+    step = observation.step
+    use_ratio = cell.use_ratio(cell.service_of(observation.state.job))
     detail: dict[str, object] = {
         "step": step.key,
         "tasks": len(step.waiting()),
-        "waited_s": round(now_s - sight.wait.since_s, 3),
-        "reason": _reason(cell, sight).value,
-        "workers": len(sight.workers),
+        "waited_s": round(now_s - observation.wait.since_s, 3),
+        "reason": _reason(cell, observation).value,
+        "workers": len(observation.workers),
         "use_ratio": round(use_ratio, 3),
-        **_most(sight.workers),
+        **_max_free(observation.workers),
     }
     return LogEntry("job_waits", step.key.job_id, detail)
 
 
-def _reason(cell: "Scheduler", sight: Sight) -> WaitReason:
+def _reason(cell: "Scheduler", observation: WaitObservation) -> WaitReason:
     """
-    Tell no worker from evacuated ones, no memory from others that keep a filler out.
+    Return the recorded reason, refined for the log.
 
-    It is worked out only for a log entry: hundreds of steps may wait in each decision.
+    Distinguishes evacuated workers from no suitable worker and, for fillers, too little
+    reservable room from no spare CPU and from interference with serving tasks. This is
+    computed only for a note, since hundreds of steps may wait in each decision.
     """
-    step = sight.step.step
-    if not sight.workers and _suited_are_evacuated(cell, sight):
+    step = observation.step.step
+    if not observation.workers and _suited_are_evacuated(cell, observation):
         return WaitReason.EVACUATED
-    if sight.reason is not WaitReason.NO_ROOM or not step.filler:
-        return sight.reason
-    with_room = [w for w in sight.workers if step.charge.fits_in(w.free())]
-    if not with_room or cell.advised(sight.state.job):
+    if observation.reason is not WaitReason.NO_ROOM or not step.filler:
+        return observation.reason
+    with_room = [w for w in observation.workers if step.charge.fits_in(w.free())]
+    if not with_room or cell.advised(observation.state.job):
         return WaitReason.NO_ROOM
     if any(has_spare_cpu(step, worker) for worker in with_room):
         return WaitReason.DISTURBS
     return WaitReason.NO_SPARE
 
 
-def _suited_are_evacuated(cell: "Scheduler", sight: Sight) -> bool:
-    service = cell.service_of(sight.state.job)
+def _suited_are_evacuated(cell: "Scheduler", observation: WaitObservation) -> bool:
+    service = cell.service_of(observation.state.job)
     return any(
         worker.evacuated
         and worker.listing.service == service
-        and suits(sight.step.step, worker)
+        and suits(observation.step.step, worker)
         for worker in cell.workers.values()
     )
 
 
-def _most(workers: list[WorkerState]) -> dict[str, object]:
-    """Return the most that any of these workers has left, each figure by itself."""
+def _max_free(workers: list[WorkerState]) -> dict[str, object]:
+    """Return the maximum of each free resource over the workers, independently."""
     free = [worker.free() for worker in workers]
     return {
         "free_cpu_millis": max((room.cpu_millis for room in free), default=0),
--- a/packages/hornbeampaddle/hornbeampaddle/cell/workers.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/workers.py
@@ -13,7 +13,7 @@
 from ..clocks import RemoteClock
 from ..machines import Address
 from ..resources import NOTHING, Resources
-from .interference import PRIOR_OWN, Interference
+from .interference import PRIOR_BASELINE_SLACK, Interference
 from .jobs import TaskKey
 from .progress import Run
 
@@ -110,7 +110,7 @@
     serving_jobs: dict[str, int] = field(default_factory=dict)
     needed_cpu_millis: dict[str, int] = field(default_factory=dict)
     # The lowest slack without fillers of the jobs whose tasks serve here, by image.
-    own_slack: dict[str, float] = field(default_factory=dict)
+    baseline_slack_by_image: dict[str, float] = field(default_factory=dict)
     # Requested CPU that fillers leave unused because they run at a reduced pace.
     unused_filler_cpu_millis: float = 0.0
     # Caches, filled on first use and invalidated when the worker changes: in a cell of
@@ -188,8 +188,8 @@
         """Return the slack that fillers may still use, by serving image."""
         demand = self.demand()
         return {
-            serving: self.own_slack.get(serving, PRIOR_OWN)
-            - model.pressure(serving, demand)
+            serving: self.baseline_slack_by_image.get(serving, PRIOR_BASELINE_SLACK)
+            - model.slack_loss(serving, demand)
             - PLACE_SLACK
             for serving in self.serving
         }
