--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -22,7 +22,7 @@
 from hornbeampaddle.cell.progress import JobStatus  # noqa: E402
 from hornbeampaddle_cell.leadership import HOLDER_KEY, Leadership  # noqa: E402
 from hornbeampaddle_cell.ledger import Ledger  # noqa: E402
-from hornbeampaddle_cell.peers import PeerBook  # noqa: E402
+from hornbeampaddle_cell.peers import PeerDirectory  # noqa: E402
 from hornbeampaddle_cell.ports import Evacuation, Keyed, Topic  # noqa: E402
 from hornbeampaddle_cell.settings import InstanceSettings  # noqa: E402
 from hornbeampaddle_platform.records import Records  # noqa: E402
@@ -174,23 +174,23 @@
 
 def check_jobs(data):
     ledger = Ledger()
-    ledger.take_job(Keyed("00000000000000aa", data))
-    ledger.take_job(Keyed("x00000000000000aa", data))
+    ledger.apply_job(Keyed("00000000000000aa", data))
+    ledger.apply_job(Keyed("x00000000000000aa", data))
     ledger.status("00000000000000aa")
 
 
 def check_progress(data):
     ledger = Ledger()
     for key in ("00000000000000aa", ".lapses", ".interference", ".swings", ".other"):
-        ledger.take_progress(Keyed(key, data), 1.0)
+        ledger.apply_progress(Keyed(key, data), 1.0)
     for value in ledger.progress.values():
         assert JobStatus(msgspec.msgpack.decode(value)[0])
 
 
 def check_peers(data):
-    book = PeerBook("me")
-    book.take(Keyed("other", data))
-    book.shuffled()
+    peer_directory = PeerDirectory("me")
+    peer_directory.apply(Keyed("other", data))
+    peer_directory.shuffled()
 
 
 def check_holder(data):
--- a/features/steps/freshness_steps.py
+++ b/features/steps/freshness_steps.py
@@ -9,7 +9,7 @@
 
 from hornbeampaddle.cell.jobs import Queue
 from hornbeampaddle_cell.follower import Follower
-from hornbeampaddle_cell.peers import PeerBook
+from hornbeampaddle_cell.peers import PeerDirectory
 from hornbeampaddle_cell.ports import Keyed, Topic, Unavailable
 from hornbeampaddle_cell.relay import Relay
 from hornbeampaddle_standins.cell.store import Link
@@ -272,7 +272,7 @@
         context.world = World(7)
         context.store = AwayAtTimes(context.world.store.port("reader"), answer_s)
         clock = SkewedClock(asyncio.get_running_loop(), 0.0)
-        context.relay = Relay(context.store, PeerBook("reader"), None, clock)
+        context.relay = Relay(context.store, PeerDirectory("reader"), None, clock)
         context.taken = []
         context.follower = Follower(
             context.relay, Topic.JOBS, clock, context.taken.extend
@@ -407,13 +407,13 @@
     context.holder = world.holder()
     context.loads = 0
     follower = world.instances[context.holder].operator
-    load = follower._load
+    load = follower._read_newest
 
     async def counted():
         context.loads += 1
         return await load()
 
-    follower._load = counted
+    follower._read_newest = counted
     world.store.faults[context.holder] = STORE_FAULTS["is silent"]
     play(context, asyncio.sleep(away_s))
     world.store.faults.clear()
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -6,7 +6,7 @@
 from hornbeampaddle.cell.progress import encode
 from hornbeampaddle.cell.scheduler import Scheduler
 from hornbeampaddle.cell.settings import CellSettings
-from hornbeampaddle_cell.ledger import Ledger, lapses_record
+from hornbeampaddle_cell.ledger import Ledger, lease_expiry_record
 
 JOB_ID = "lasting"
 WORKER_ID = "w0"
@@ -70,11 +70,11 @@
     assert context.worker.lease_over_at_s > context.over_at_s + 1.0
 
 
-def next_holder(context, lapses_at_s):
+def next_holder(context, lease_expiry_at_s):
     """Return the cell of a holder that has read the log, and knows the worker."""
     old = context.cell.jobs[JOB_ID]
     cell = Scheduler(CellSettings())
-    cell.lapses.inherit(lapses_at_s)
+    cell.lapses.inherit(lease_expiry_at_s)
     now_s = context.player.now_s
     cell.add_job(old.job, encode(old), old.accepted_at_s, now_s)
     cell.list_worker(context.worker.listing, now_s)
@@ -85,10 +85,12 @@
 def another(context, pause_s):
     ledger = Ledger()
     # It reads the record a little after it was stored.
-    ledger.take_progress(lapses_record(context.lapses), context.player.now_s + 0.1)
+    ledger.apply_progress(
+        lease_expiry_record(context.lapses), context.player.now_s + 0.1
+    )
     context.player.now_s += pause_s
     context.begun_at_s = context.player.now_s
-    context.informed = next_holder(context, ledger.lapses_at_s)
+    context.informed = next_holder(context, ledger.lease_expiry_at_s)
     context.uninformed = next_holder(context, {})
 
 
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -12,7 +12,7 @@
 from hornbeampaddle.cell.reports import NoAnswer
 from hornbeampaddle.machines import Address
 from hornbeampaddle_cell.callers import Accepted
-from hornbeampaddle_cell.peers import PeerBook, peer_record
+from hornbeampaddle_cell.peers import PeerDirectory, peer_record
 from hornbeampaddle_cell.ports import Appended, Keyed, Producer, Topic, Unavailable
 from hornbeampaddle_cell.relay import Relay, encode_outcome
 from hornbeampaddle_standins.cell.store import Link, StoreFault
@@ -184,11 +184,11 @@
 def silent_relay(context):
     context.loop = asyncio.new_event_loop()
     context.add_cleanup(context.loop.close)
-    book = PeerBook("i0")
-    book.take(peer_record("i1", Address("127.0.0.1", 1), 0.0))
+    peer_directory = PeerDirectory("i0")
+    peer_directory.apply(peer_record("i1", Address("127.0.0.1", 1), 0.0))
     context.peers = RecordingPeers()
     clock = SkewedClock(context.loop, 0.0)
-    context.relay = Relay(SilentStore(), book, context.peers, clock)
+    context.relay = Relay(SilentStore(), peer_directory, context.peers, clock)
 
 
 @when("a claim and a numbered append go through it")
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/__init__.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/__init__.py
@@ -1,6 +1,6 @@
 """
-Run one instance of a cell: accept jobs, follow the log, schedule when chosen.
+Run one instance of a cell: accept jobs, follow the logs, schedule as the holder.
 
-The instance knows its surroundings only through ``ports``; an adapter for a
-platform implements these.
+The instance uses external systems only through ``ports``; an adapter for a platform
+implements these.
 """
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/appender.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/appender.py
@@ -1,9 +1,9 @@
 """
 Store the records of many callers in few appends.
 
-All records that wait go into one append. An append whose answer was lost is
-sent again under the same sequence number until its fate is known, because a
-caller may only be told "not accepted" when that is certain.
+All queued records go into one append. An append without an answer is sent again under
+the same sequence number until its outcome is known, because a caller may be told "not
+accepted" only if the record is certain not to be stored.
 """
 
 import asyncio
@@ -30,17 +30,17 @@
 
 log = structlog.get_logger()
 
-# One append carries at most so many records and bytes; both are well below
-# the store's own limits for a call.
-BATCH_RECORDS = 200
-BATCH_BYTES = 512 * 1024
-# Between tries of one append: a store that refuses is mostly back in seconds,
-# and the records that wait have callers with a deadline of 3 s.
-RETRY_S = 0.06
+# Largest number of records and bytes in one append; both are well below the store's
+# own limits for a call.
+BATCH_MAX_RECORDS = 200
+BATCH_MAX_BYTES = 512 * 1024
+# Pause between attempts of one append: a store that refuses usually serves again within
+# seconds, and the callers of the queued records have a deadline of 3 s.
+RETRY_INTERVAL_S = 0.06
 
 
 class Stored(Enum):
-    """What became of a record, as far as its caller may be told."""
+    """Whether a record is stored, as far as is certain."""
 
     YES = "yes"
     NO = "no"
@@ -48,38 +48,38 @@
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _QueuedRecord:
     record: Keyed
     queued_at_s: float
     done: asyncio.Future[Stored] = field(default_factory=asyncio.Future)
 
 
 class Appender:
-    """The queue of one log, with one append at a time."""
+    """A queue of records for one log, with one append in flight at a time."""
 
     def __init__(
         self, store: StorePort, topic: Topic, clock: Clock, settings: InstanceSettings
     ) -> None:
-        """Start with an empty queue; the name of this life is the producer."""
+        """Start with an empty queue; the producer's name is ``instance_id``."""
         self.store = store
         self.topic = topic
         self.clock = clock
         self.settings = settings
-        self._queue: list[_Waiting] = []
+        self._queue: list[_QueuedRecord] = []
         self._wake = asyncio.Event()
         self._sequence = 0
-        self.unknown_since_s: float | None = None
+        self.unanswered_since_s: float | None = None
 
     async def put(self, record: Keyed, deadline_s: float) -> Stored:
         """
         Store one record; return what is certain by ``deadline_s``.
 
-        A record that has been sent without an answer stays in the queue after
-        that time, until its fate is known.
+        ``deadline_s`` is on this instance's clock. An append that was sent without an
+        answer is still repeated after that time, until its outcome is known.
         """
         if self.stuck():
             return Stored.NO
-        waiting = _Waiting(record, self.clock.now_s())
+        waiting = _QueuedRecord(record, self.clock.now_s())
         self._queue.append(waiting)
         self._wake.set()
         try:
@@ -92,32 +92,32 @@
             return Stored.UNKNOWN
 
     def stuck(self) -> bool:
-        """Tell whether an earlier append has had no answer for long."""
-        if self.unknown_since_s is None:
+        """Return whether an append is unanswered beyond ``append_patience_s``."""
+        if self.unanswered_since_s is None:
             return False
-        unknown_s = self.clock.now_s() - self.unknown_since_s
+        unknown_s = self.clock.now_s() - self.unanswered_since_s
         return unknown_s > self.settings.append_patience_s
 
     async def run(self) -> None:
-        """Append what waits, for ever."""
+        """Append queued records until cancelled."""
         while True:
             await self._wake.wait()
             self._wake.clear()
             while self._queue:
-                await self._append(self._take())
+                await self._append(self._take_batch())
 
-    def _take(self) -> list[_Waiting]:
-        taken: list[_Waiting] = []
+    def _take_batch(self) -> list[_QueuedRecord]:
+        taken: list[_QueuedRecord] = []
         size_bytes = 0
-        for waiting in self._queue[:BATCH_RECORDS]:
+        for waiting in self._queue[:BATCH_MAX_RECORDS]:
             size_bytes += len(waiting.record.value or b"")
-            if taken and size_bytes > BATCH_BYTES:
+            if taken and size_bytes > BATCH_MAX_BYTES:
                 break
             taken.append(waiting)
         del self._queue[: len(taken)]
         return taken
 
-    async def _append(self, batch: list[_Waiting]) -> None:
+    async def _append(self, batch: list[_QueuedRecord]) -> None:
         records = [waiting.record for waiting in batch]
         oldest_s = batch[0].queued_at_s
         sent_unanswered = False
@@ -126,38 +126,38 @@
             match outcome:
                 case Appended():
                     self._sequence += 1
-                    return self._settle(batch, Stored.YES)
+                    return self._resolve(batch, Stored.YES)
                 case OutOfSequence(expected) if expected == self._sequence + 1:
-                    # This very number was taken: an unanswered try was done.
+                    # The log has this sequence number: an unanswered try was stored.
                     self._sequence = expected
-                    return self._settle(batch, Stored.YES)
+                    return self._resolve(batch, Stored.YES)
                 case NoAnswer(detail):
                     sent_unanswered = True
-                    self._note_unknown(detail, records)
+                    self._note_unanswered(detail, records)
                 case Unavailable(detail) if not sent_unanswered:
                     waited_s = self.clock.now_s() - oldest_s
                     if waited_s > self.settings.append_patience_s:
                         log.warning("append: refused", detail=detail)
-                        return self._settle(batch, Stored.NO)
+                        return self._resolve(batch, Stored.NO)
                 case Unavailable():
                     pass
                 case _:
-                    log.error("append: unexpected", outcome=repr(outcome))
-                    return self._settle(batch, Stored.UNKNOWN)
-            await asyncio.sleep(RETRY_S)
+                    log.error("append: unexpected outcome", outcome=repr(outcome))
+                    return self._resolve(batch, Stored.UNKNOWN)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     async def _send(self, records: Sequence[Keyed]) -> AppendOutcome:
         producer = Producer(self.settings.instance_id, 1, self._sequence)
         return await self.store.append(self.topic, records, producer, None)
 
-    def _note_unknown(self, detail: str, records: Sequence[Keyed]) -> None:
-        if self.unknown_since_s is None:
-            self.unknown_since_s = self.clock.now_s()
+    def _note_unanswered(self, detail: str, records: Sequence[Keyed]) -> None:
+        if self.unanswered_since_s is None:
+            self.unanswered_since_s = self.clock.now_s()
         ids = [record.key for record in records[:5]]
         log.warning("append: no answer", detail=detail, records=ids)
 
-    def _settle(self, batch: list[_Waiting], stored: Stored) -> None:
-        self.unknown_since_s = None
+    def _resolve(self, batch: list[_QueuedRecord], stored: Stored) -> None:
+        self.unanswered_since_s = None
         for waiting in batch:
             if not waiting.done.done():
                 waiting.done.set_result(stored)
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/callers.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/callers.py
@@ -1,8 +1,8 @@
 """
-Answer callers: submit, query, cancel, count.
+Answer callers' requests to submit, query, cancel and count jobs.
 
-Any instance answers from its own view of the log. What it cannot know it says:
-a refusal means that the job is certain not to run.
+Any instance answers from its own view of the log, and says so when it cannot know the
+answer. A refused submission means that the job is certain not to run from it.
 """
 
 from dataclasses import dataclass, replace
@@ -22,19 +22,19 @@
 
 log = structlog.get_logger()
 
-# How long a query for an unknown job waits for a fresh read of the log: ten
-# times a usual read.
-FRESH_READ_S = 0.4
+# How long a query for an unknown job waits for a fresh read of the log: ten times the
+# usual duration of a read.
+FRESH_READ_TIMEOUT_S = 0.4
 
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The job is stored, now or before."""
+    """The request took effect, now or by an earlier call."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotAccepted:
-    """The job is not stored and never runs from this request."""
+    """The request is refused and not stored; a job never runs from it."""
 
     reason: str
     retry_after_s: int
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Unknown:
-    """Nobody can say yet; the same request may be repeated."""
+    """The outcome is not known yet; the same request may be repeated."""
 
     reason: str
 
@@ -57,8 +57,8 @@
 Cancelled = Accepted | Gone | NotAccepted | Unknown
 
 
-class Callers:
-    """The part of an instance that callers speak to."""
+class CallerApi:
+    """The operations that an instance offers to callers."""
 
     def __init__(
         self,
@@ -71,7 +71,7 @@
         appender: Appender,
         metrics: Metrics,
     ) -> None:
-        """Keep the parts that answers are made of."""
+        """Store the components that answers are computed from."""
         self.settings = settings
         self.clock = clock
         self.ledger = ledger
@@ -82,33 +82,33 @@
         self.metrics = metrics
 
     def fresh(self) -> bool:
-        """Tell whether this instance's view of the log is recent."""
+        """Return whether the views of jobs and progress are recent."""
         age_s = max(self.jobs.age_s(), self.progress.age_s())
         return age_s < self.settings.stale_s
 
-    def _answered(self, call: str, outcome: object, begun_s: float) -> None:
-        took_s = self.clock.now_s() - begun_s
+    def _record_answer(self, call: str, outcome: object, started_s: float) -> None:
+        took_s = self.clock.now_s() - started_s
         name = type(outcome).__name__.lower()
         self.metrics.answered(call, name, took_s)
 
     async def submit(self, job: Job, deadline_s: float) -> Submitted:
         """Store a job, once for each id."""
-        begun_s = self.clock.now_s()
+        started_s = self.clock.now_s()
         if job.job_id in self.ledger.jobs:
             log.info("submit: repeated", job=job.job_id)
-            self._answered("submit", Accepted(), begun_s)
+            self._record_answer("submit", Accepted(), started_s)
             return Accepted()
         if self.operator.age_s() >= self.settings.configuration_recent_s:
-            # Guards against a job that runs on a queue which was closed, or for a
-            # service which it left, while this instance could not read of it.
+            # The queue may have been closed, or moved to another service, while this
+            # instance could not read the operator's log; the job must not run then.
             age_s = round(self.operator.age_s(), 3)
             log.warning("submit: configuration too old", job=job.job_id, age_s=age_s)
             outcome: Submitted = self._refused("configuration_too_old")
-            self._answered("submit", outcome, begun_s)
+            self._record_answer("submit", outcome, started_s)
             return outcome
         job = replace(job, accepted_at_s=self.clock.wall_s())
         stored = await self.appender.put(job_record(job), deadline_s)
-        took_s = round(self.clock.now_s() - begun_s, 4)
+        took_s = round(self.clock.now_s() - started_s, 4)
         log.info(
             "submit: answered",
             job=job.job_id,
@@ -117,26 +117,26 @@
             took_s=took_s,
         )
         outcome = self._submitted(stored)
-        self._answered("submit", outcome, begun_s)
+        self._record_answer("submit", outcome, started_s)
         return outcome
 
-    async def _known(self, job_id: str) -> bool | None:
-        """Tell whether a job exists; nothing if that cannot be known now."""
+    async def _job_exists(self, job_id: str) -> bool | None:
+        """Return whether a job exists; ``None`` if that cannot be known now."""
         if job_id in self.ledger.jobs:
             return True
-        if not await self.jobs.catch_up(FRESH_READ_S):
+        if not await self.jobs.catch_up(FRESH_READ_TIMEOUT_S):
             return None
         return job_id in self.ledger.jobs
 
     async def query(self, job_id: str) -> Queried:
         """Return a job's status."""
-        begun_s = self.clock.now_s()
+        started_s = self.clock.now_s()
         outcome = await self._query(job_id)
-        self._answered("query", outcome, begun_s)
+        self._record_answer("query", outcome, started_s)
         return outcome
 
     async def _query(self, job_id: str) -> Queried:
-        known = await self._known(job_id)
+        known = await self._job_exists(job_id)
         if known is None:
             log.warning("query: view too old", job=job_id, age_s=self.jobs.age_s())
             return self._refused("view_too_old")
@@ -144,14 +144,14 @@
         return status if status is not None else Gone()
 
     async def cancel(self, job_id: str, deadline_s: float) -> Cancelled:
-        """Store a cancellation; the holder ends what runs."""
-        begun_s = self.clock.now_s()
+        """Store a cancellation; the holder then stops the job's runs."""
+        started_s = self.clock.now_s()
         outcome = await self._cancel(job_id, deadline_s)
-        self._answered("cancel", outcome, begun_s)
+        self._record_answer("cancel", outcome, started_s)
         return outcome
 
     async def _cancel(self, job_id: str, deadline_s: float) -> Cancelled:
-        known = await self._known(job_id)
+        known = await self._job_exists(job_id)
         if known is None:
             return self._refused("view_too_old")
         if not known:
@@ -164,11 +164,11 @@
         return self._submitted(stored)
 
     def pending(self, queue_name: str) -> int | None:
-        """Count the jobs that wait; nothing if the view is too old."""
+        """Count a queue's jobs without a start; ``None`` if the view is too old."""
         return self.ledger.pending(queue_name) if self.fresh() else None
 
     def _submitted(self, stored: Stored) -> Submitted:
-        """Return what a caller may be told of a record."""
+        """Return the answer to a caller whose record was given to the appender."""
         match stored:
             case Stored.YES:
                 return Accepted()
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/evacuations.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/evacuations.py
@@ -1,8 +1,8 @@
 """
-Keep the data centres in which the operator wants nothing more to start.
+Keep the set of data centres in which the operator has stopped new starts.
 
-They come with the operator's log: a record for each, for as long as it is evacuated.
-Every instance knows them, so that the next holder need not ask.
+The operator's log has one record per evacuated data centre, for as long as the
+evacuation lasts. Every instance follows it, so that a new holder knows the set at once.
 """
 
 from collections.abc import Callable
@@ -15,35 +15,36 @@
 
 
 class Evacuations:
-    """The evacuated data centres, by the key of the record that says so."""
+    """The evacuated data centres, by the key of the record that names them."""
 
     def __init__(self, codec: Codec, changed: Callable[[], None]) -> None:
-        """Start with none; ``changed`` is called whenever one begins or ends."""
+        """Start with none; ``changed`` is called when an evacuation begins or ends."""
         self._codec = codec
-        self._changed = changed
+        self._on_change = changed
         self._by_key: dict[str, str] = {}
 
     @property
     def data_centres(self) -> frozenset[str]:
-        """Return the data centres in which nothing more may start."""
+        """The data centres in which no task may start."""
         return frozenset(self._by_key.values())
 
-    def take(self, record: Keyed) -> None:
-        """Take in a record of the operator's log, if it is an evacuation's."""
+    def apply(self, record: Keyed) -> None:
+        """Apply a record of the operator's log; ignores other kinds of record."""
         match self._codec.evacuation(record):
             case Evacuation(data_centre, True) if record.key not in self._by_key:
                 self._by_key[record.key] = data_centre
                 log.warning("evacuation: began", data_centre=data_centre)
-                self._changed()
+                self._on_change()
             case Evacuation(_, False):
                 self._end(record.key)
 
     def keep_only(self, keys: set[str]) -> None:
         """
-        End the evacuations that the operator's log, read whole, no longer names.
+        End the evacuations whose keys are not among ``keys``.
 
-        Guards against a data centre that stays empty for good: the newest records do
-        not name what was removed.
+        Called after a full read of the operator's log, whose newest records do not
+        include removed keys. Otherwise a data centre whose evacuation was removed
+        meanwhile would stay empty for good.
         """
         for key in self._by_key.keys() - keys:
             self._end(key)
@@ -52,4 +53,4 @@
         data_centre = self._by_key.pop(key, None)
         if data_centre is not None:
             log.warning("evacuation: ended", data_centre=data_centre)
-            self._changed()
+            self._on_change()
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/holder.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/holder.py
@@ -1,10 +1,10 @@
 """
-Hold a cell: decide, store what was decided, then tell the workers.
+Hold a cell: make scheduling decisions, store them, then send them to the workers.
 
-Each turn of the loop takes one decision, stores its records in one append
-under the holder's epoch, and only then acknowledges ends and sends starts. So
-a holder that follows finds in the log every order that may have been given,
-and never an end that was forgotten.
+Each iteration of the loop makes one decision, stores its records in one append under
+the holder's epoch, and only then acknowledges ended runs and sends starts. A successor
+therefore finds in the log every start that may have been sent, and the end of every
+run that was acknowledged.
 """
 
 import asyncio
@@ -24,12 +24,12 @@
 
 from .leadership import HOLDER_KEY, HolderRecord, encode_holder
 from .ledger import (
-    CANCEL_MARK,
-    Change,
+    CANCEL_PREFIX,
+    JobChange,
     Ledger,
-    lapses_record,
-    period_record,
-    slopes_record,
+    interference_record,
+    lease_expiry_record,
+    load_period_record,
 )
 from .metrics import MeteredWorker, Metrics
 from .ports import (
@@ -48,23 +48,24 @@
 
 log = structlog.get_logger()
 
-# A turn without any event: leases and due times are looked at this often.
-IDLE_TURN_S = 0.1
-# Between two decisions passes this many times what the last one took: deciding gets a
-# quarter of the processor at most, and orders and reports the rest.
-TURN_GAP_RATIO = 4.0
-TURN_GAP_MAX_S = 0.1
-# Finished jobs are looked for this often, and dropped so many at a time.
-FORGET_EVERY_S = 5.0
-FORGET_COUNT = 100
-# What was learned is stored this often; it is about 1 KB.
-LEARNED_EVERY_S = 2.0
-# The state of the cell is logged this often; it costs about 1 ms.
-SUMMARY_EVERY_S = 1.0
+# Longest wait for an event: leases and due times are checked at least this often.
+IDLE_INTERVAL_S = 0.1
+# Time between the starts of two decisions, as a multiple of the last decision's
+# duration: deciding takes at most a quarter of the CPU and leaves the rest to orders
+# and reports.
+DECISION_INTERVAL_RATIO = 4.0
+DECISION_INTERVAL_MAX_S = 0.1
+# How often finished jobs are deleted, and how many jobs are deleted at a time.
+JOB_CLEANUP_INTERVAL_S = 5.0
+JOB_CLEANUP_BATCH_SIZE = 100
+# How often the interference model is stored; its records are about 1 KB.
+MODEL_SAVE_INTERVAL_S = 2.0
+# How often the state of the cell is logged; a summary takes about 1 ms.
+SUMMARY_INTERVAL_S = 1.0
 
 
 class Holder:
-    """One instance's time as the holder of a cell."""
+    """One instance's term as the holder of a cell, under one epoch."""
 
     def __init__(
         self,
@@ -75,10 +76,15 @@
         make_worker: WorkerFactory,
         advice: AdvicePort | None,
         epoch: int,
-        claimed_at_s: float,
+        fenced_at_s: float,
         metrics: Metrics,
     ) -> None:
-        """Begin with what the log says; ``claimed_at_s`` is when it was asked."""
+        """
+        Start from the ledger as read from the log.
+
+        ``fenced_at_s`` is the local time at which the fence was sent: the time for
+        which this instance may hold the cell without a stored record starts there.
+        """
         self.settings = settings
         self.clock = clock
         self.store = store
@@ -87,41 +93,41 @@
         self.advice = advice
         self.metrics = metrics
         self.epoch = epoch
-        self.cell = Scheduler(settings.cell, self._log_note)
+        self.cell = Scheduler(settings.cell, self._log_entry)
         self.lost = asyncio.Event()
         self.log = ProgressLog(
-            settings, clock, store, ledger, epoch, claimed_at_s, self.lose
+            settings, clock, store, ledger, epoch, fenced_at_s, self.step_down
         )
         self.first_report_slots = asyncio.Semaphore(settings.cell.first_reports_max)
         self._sessions: dict[str, Session] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._woken = asyncio.Event()
-        self._forget_at_s = claimed_at_s + FORGET_EVERY_S
-        self._summary_at_s = claimed_at_s
-        self._learned_at_s = claimed_at_s + LEARNED_EVERY_S
-        # Jobs that the log of jobs has dropped, whose progress is still stored.
-        self._dropped: set[str] = set()
+        self._next_job_cleanup_s = fenced_at_s + JOB_CLEANUP_INTERVAL_S
+        self._next_summary_s = fenced_at_s
+        self._next_model_save_s = fenced_at_s + MODEL_SAVE_INTERVAL_S
+        # Jobs deleted from the log of jobs whose progress records are still stored.
+        self._deleted_jobs: set[str] = set()
         self._releasing = False
-        self._next_turn_s = float("-inf")
-        # Returns as of when the list of workers is complete.
+        self._next_decision_s = float("-inf")
+        # Returns the local time as of which the list of workers is complete.
         self.list_complete_at_s: Callable[[], float] = lambda: float("inf")
-        # The same for the operator's evacuations.
+        # Returns the local time as of which the operator's evacuations are complete.
         self.evacuations_complete_at_s: Callable[[], float] = lambda: float("inf")
         self._may_start = True
 
-    def _log_note(self, note: LogEntry) -> None:
-        self.metrics.noted(note)
-        log.info(note.event, job=note.job_id, epoch=self.epoch, **note.detail)
+    def _log_entry(self, entry: LogEntry) -> None:
+        self.metrics.count_log_entry(entry)
+        log.info(entry.event, job=entry.job_id, epoch=self.epoch, **entry.detail)
 
-    # What the instance tells the holder
+    # Called by the instance
 
     def begin(self) -> None:
-        """Take in all jobs of the ledger, and what was learned before."""
+        """Load the ledger's jobs, leases and interference model into the scheduler."""
         now_s = self.clock.now_s()
         self.cell.model.inherit(self.ledger.slopes)
         if self.ledger.period_s is not None:
             self.cell.model.forecaster.inherit(self.ledger.period_s)
-        self.cell.lapses.inherit(self.ledger.lapses_at_s)
+        self.cell.lapses.inherit(self.ledger.lease_expiry_at_s)
         for job_id in self.ledger.jobs:
             self._add_job(job_id, now_s)
         for job_id in list(self.ledger.cancelled):
@@ -129,28 +135,28 @@
 
     def _add_job(self, job_id: str, now_s: float) -> None:
         job = self.ledger.jobs[job_id]
-        # Both clocks may be off by seconds; an age below zero or beyond a
-        # minute would only make nonsense of the order in which jobs are due.
+        # Both wall clocks may be off by seconds; an age below zero or above one minute
+        # would distort the order in which jobs are due.
         age_s = min(60.0, max(0.0, self.clock.wall_s() - job.accepted_at_s))
         progress = self.ledger.progress.get(job_id)
         self.cell.add_job(job, progress, now_s - age_s, now_s)
 
-    def job_changed(self, change: Change, job_id: str) -> None:
-        """Take in a record of the log of jobs."""
+    def job_changed(self, change: JobChange, job_id: str) -> None:
+        """Apply a change read from the log of jobs."""
         now_s = self.clock.now_s()
         match change:
-            case Change.ACCEPTED:
+            case JobChange.ACCEPTED:
                 self._add_job(job_id, now_s)
                 if job_id in self.ledger.cancelled:
-                    # Guards against a cancelled job that runs: its cancellation may
-                    # be read before it, when nothing was there to be cancelled.
+                    # The cancellation may have been read before the job itself, when
+                    # there was nothing to cancel; without this the job would run.
                     self.cell.cancel(job_id, now_s)
-            case Change.CANCELLED:
+            case JobChange.CANCELLED:
                 self.cell.cancel(job_id, now_s)
-            case Change.FORGOTTEN:
+            case JobChange.FORGOTTEN:
                 self.cell.forget(job_id)
-                self._dropped.add(job_id)
-            case Change.REPEATED | Change.UNREADABLE:
+                self._deleted_jobs.add(job_id)
+            case JobChange.REPEATED | JobChange.UNREADABLE:
                 return
         self.wake()
 
@@ -161,24 +167,24 @@
         self.wake()
 
     def evacuate(self, data_centres: frozenset[str]) -> None:
-        """Take in the data centres in which nothing more may start."""
+        """Replace the set of data centres in which no task may start."""
         self.cell.evacuate(data_centres)
         self.wake()
 
-    def list_workers(
+    def update_worker_list(
         self, listed: Sequence[WorkerListing], gone: Sequence[str]
     ) -> None:
-        """Take in changes of the list of workers."""
+        """Apply changes of the list of workers; ``gone`` are the ids to remove."""
         now_s = self.clock.now_s()
         for listing in listed:
             self.cell.list_worker(listing, now_s)
             if listing.worker_id not in self._sessions:
-                self._open(listing)
+                self._open_session(listing)
         for worker_id in gone:
             self.cell.unlist_worker(worker_id)
         self.wake()
 
-    def _open(self, listing: WorkerListing) -> None:
+    def _open_session(self, listing: WorkerListing) -> None:
         port = MeteredWorker(self.make_worker(listing, self.epoch), self.metrics)
         session = Session(self, listing.worker_id, port)
         self._sessions[listing.worker_id] = session
@@ -191,38 +197,38 @@
             session.port.close()
             self._sessions.pop(session.worker_id, None)
 
-    # What sessions tell the holder
+    # Called by the sessions
 
-    def may_order(self) -> bool:
+    def may_send_orders(self) -> bool:
         """
-        Tell whether this instance certainly still holds the cell.
+        Return whether this instance certainly still holds the cell.
 
-        The clock counts while the machine is suspended, so a holder that wakes
-        up after its successor began finds that its time is over.
+        The clock also counts while the machine is suspended, so a holder that resumes
+        after its successor took over sends no more orders.
         """
-        return self._lives(self.settings.cell.holder_lapse_s)
+        return self._stored_within(self.settings.cell.holder_lapse_s)
 
-    def may_renew(self) -> bool:
+    def may_renew_leases(self) -> bool:
         """
-        Tell whether this instance may still renew leases.
+        Return whether this instance may still renew leases.
 
-        Somewhat longer than it may order: workers refuse the renewals of a
-        holder that was replaced, and its successor counts with the rest.
+        The limit is ``renew_on_s`` later than that for orders: workers refuse renewals
+        of a replaced holder, and its successor allows for leases renewed until then.
         """
         cell = self.settings.cell
-        return self._lives(cell.holder_lapse_s + cell.renew_on_s)
+        return self._stored_within(cell.holder_lapse_s + cell.renew_on_s)
 
-    def _lives(self, lapse_s: float) -> bool:
+    def _stored_within(self, lapse_s: float) -> bool:
         age_s = self.clock.now_s() - self.log.stored_at_s
         return age_s < lapse_s and not self.lost.is_set()
 
-    def take_report(self, worker_id: str, report: Report) -> None:
-        """Take in a report, and turn the loop."""
+    def handle_report(self, worker_id: str, report: Report) -> None:
+        """Queue a worker's report for the scheduler and wake the loop."""
         self.cell.intake.report(worker_id, report)
         self.wake()
 
-    def lose(self, why: str) -> None:
-        """Stop holding the cell: another one does."""
+    def step_down(self, why: str) -> None:
+        """Stop holding the cell because another instance does or a task failed."""
         if not self.lost.is_set():
             log.warning("holder: lost", epoch=self.epoch, why=why)
         self.lost.set()
@@ -230,25 +236,25 @@
         self.wake()
 
     def wake(self) -> None:
-        """Turn the loop soon."""
+        """Run the next iteration of the loop without waiting for the interval."""
         self._woken.set()
 
     # The loop
 
     async def run(self) -> None:
-        """Decide and store until the cell is lost or released."""
+        """Make and store decisions until the cell is lost or released."""
         log.info("holder: began", epoch=self.epoch, jobs=len(self.ledger.jobs))
         self.metrics.holding.set(1)
         try:
             while not self.lost.is_set() and not self._releasing:
-                await self._turn()
+                await self._iterate()
             if self._releasing and not self.lost.is_set():
                 await self._release()
         finally:
             await self._close()
 
     def release(self) -> None:
-        """Let the cell go after the current turn."""
+        """Release the cell after the current iteration."""
         self._releasing = True
         self.wake()
 
@@ -267,27 +273,29 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _turn(self) -> None:
+    async def _iterate(self) -> None:
         try:
-            async with asyncio.timeout(IDLE_TURN_S):
+            async with asyncio.timeout(IDLE_INTERVAL_S):
                 await self._woken.wait()
         except TimeoutError:
             pass
-        await asyncio.sleep(self._next_turn_s - self.clock.now_s())
+        await asyncio.sleep(self._next_decision_s - self.clock.now_s())
         self._woken.clear()
         now_s = self.clock.now_s()
-        self._watch_views(now_s)
+        self._update_view_ages(now_s)
         decision = self.cell.decide(now_s, self.clock.wall_s())
         took_s = self.clock.now_s() - now_s
-        self._next_turn_s = now_s + min(TURN_GAP_MAX_S, TURN_GAP_RATIO * took_s)
-        self._give_urgent(decision)
+        self._next_decision_s = now_s + min(
+            DECISION_INTERVAL_MAX_S, DECISION_INTERVAL_RATIO * took_s
+        )
+        self._dispatch_without_storing(decision)
         ends = [(worker, end) for worker, end in self.cell.acknowledgements()]
-        self._forget(now_s)
-        records = self._take_dropped()
+        self._delete_finished_jobs(now_s)
+        records = self._take_progress_deletions()
         records += [Keyed(key, value) for key, value in decision.records.items()]
-        records += self._learned(now_s)
+        records += self._model_records(now_s)
         if decision.lapses is not None:
-            records.append(lapses_record(decision.lapses))
+            records.append(lease_expiry_record(decision.lapses))
         self._log_summary(now_s)
         unacked = any(worker.acked_end < end for worker, end in ends)
         if records or unacked or self._heartbeat_due(now_s):
@@ -301,8 +309,13 @@
             self._acknowledge(worker.worker_id, end)
         self._send_starts(decision)
 
-    def _watch_views(self, now_s: float) -> None:
-        """Tell the cell how old its views are; log when one is too old to start by."""
+    def _update_view_ages(self, now_s: float) -> None:
+        """
+        Update the times as of which the scheduler's views are complete.
+
+        Logs when a view becomes too old to start tasks, and when starts are allowed
+        again.
+        """
         cell = self.cell
         cell.list_complete_at_s = self.list_complete_at_s()
         cell.evacuations_complete_at_s = self.evacuations_complete_at_s()
@@ -316,7 +329,7 @@
             )
         self._may_start = may_start
 
-    def _give_urgent(self, decision: Decision) -> None:
+    def _dispatch_without_storing(self, decision: Decision) -> None:
         for stop in decision.stops:
             session = self._sessions.get(stop.worker_id)
             if session is not None:
@@ -326,12 +339,12 @@
             if session is not None:
                 self._spawn(session.pace(pace))
         for question in decision.questions:
-            self._spawn(self._ask(question))
+            self._spawn(self._ask_advice(question))
 
     def _send_starts(self, decision: Decision) -> None:
         for run in decision.starts:
             session = self._sessions.get(run.worker_id)
-            # A run that was stopped while it was being stored is never sent.
+            # A run that was stopped while its record was being stored is not sent.
             if session is not None and run.phase is RunPhase.RECORDING:
                 payload = self.cell.jobs[run.key.job_id].job.payload
                 self._spawn(session.start(run, payload))
@@ -345,7 +358,7 @@
         if session is not None:
             session.acked.set()
 
-    async def _ask(self, question: AdviceQuestion) -> None:
+    async def _ask_advice(self, question: AdviceQuestion) -> None:
         allowance: Allowance | None = None
         if self.advice is not None:
             allowance = await self.advice.ask(question.step, question.worker_ids)
@@ -370,62 +383,62 @@
         record = HolderRecord(self.settings.instance_id, self.epoch, self.settings.name)
         return Keyed(HOLDER_KEY, encode_holder(record))
 
-    def _learned(self, now_s: float) -> list[Keyed]:
-        """Return what was learned of interference, for the next holder."""
-        if now_s < self._learned_at_s:
+    def _model_records(self, now_s: float) -> list[Keyed]:
+        """Return the records of the interference model, for the next holder."""
+        if now_s < self._next_model_save_s:
             return []
-        self._learned_at_s = now_s + LEARNED_EVERY_S
-        records = [slopes_record(self.cell.model.table())]
+        self._next_model_save_s = now_s + MODEL_SAVE_INTERVAL_S
+        records = [interference_record(self.cell.model.table())]
         period_s = self.cell.model.forecaster.period_s
         if period_s is not None:
-            records.append(period_record(period_s))
+            records.append(load_period_record(period_s))
         return records
 
     def _log_summary(self, now_s: float) -> None:
-        if now_s < self._summary_at_s:
+        if now_s < self._next_summary_s:
             return
-        self._summary_at_s = now_s + SUMMARY_EVERY_S
+        self._next_summary_s = now_s + SUMMARY_INTERVAL_S
         state = summary(self.cell, now_s)
-        self.metrics.summed_up(state)
+        self.metrics.update_cell_gauges(state)
         lag_s = round(self.metrics.loop_lag_s, 3)
         log.info("cell: state", epoch=self.epoch, loop_lag_s=lag_s, **asdict(state))
 
-    def _forget(self, now_s: float) -> None:
-        if now_s < self._forget_at_s:
+    def _delete_finished_jobs(self, now_s: float) -> None:
+        if now_s < self._next_job_cleanup_s:
             return
-        self._forget_at_s = now_s + FORGET_EVERY_S
-        for job_id in self.cell.forgettable(now_s)[:FORGET_COUNT]:
-            self._spawn(self._drop(job_id))
+        self._next_job_cleanup_s = now_s + JOB_CLEANUP_INTERVAL_S
+        for job_id in self.cell.forgettable(now_s)[:JOB_CLEANUP_BATCH_SIZE]:
+            self._spawn(self._delete_job(job_id))
 
-    def _take_dropped(self) -> list[Keyed]:
+    def _take_progress_deletions(self) -> list[Keyed]:
         """
-        Return the deletions of the progress of jobs that the log of jobs dropped.
+        Return tombstones for the progress of jobs deleted from the log of jobs.
 
-        Guards against a finished job that runs a second time: a job without progress
-        looks like one of which nothing has started, so the job goes first. A holder
-        that dies between the two leaves a record of progress that names no job.
+        The job is deleted before its progress: a job without progress looks as if
+        nothing of it had started, and a finished job would run a second time. A holder
+        that crashes between the two deletions leaves a progress record without a job.
         """
-        dropped, self._dropped = self._dropped, set()
+        dropped, self._deleted_jobs = self._deleted_jobs, set()
         return [Keyed(job_id, None) for job_id in sorted(dropped)]
 
-    async def _drop(self, job_id: str) -> None:
+    async def _delete_job(self, job_id: str) -> None:
         producer = Producer(f"{self.settings.instance_id}-drop-{job_id}", 1, 0)
-        records = [Keyed(job_id, None), Keyed(CANCEL_MARK + job_id, None)]
+        records = [Keyed(job_id, None), Keyed(CANCEL_PREFIX + job_id, None)]
         await self.store.append(Topic.JOBS, records, producer, None)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
-        task.add_done_callback(self._ended)
+        task.add_done_callback(self._on_task_done)
 
-    def _ended(self, task: asyncio.Task[None]) -> None:
+    def _on_task_done(self, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
             log.error("holder: task failed", error=repr(task.exception()))
-            self.lose("a task broke an invariant")
+            self.step_down("a task broke an invariant")
 
 
 def _age_s(now_s: float, complete_at_s: float) -> float | None:
-    """Return the age of a view; nothing before it was complete for the first time."""
+    """Return the age of a view; ``None`` before it was first complete."""
     age_s = now_s - complete_at_s
     return round(age_s, 3) if math.isfinite(age_s) else None
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/instance.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/instance.py
@@ -1,8 +1,8 @@
 """
-Put the parts of one instance together and keep them running.
+Assemble the components of one instance and run them.
 
-Every instance follows the log and answers callers. The one that wins a claim
-also holds the cell, until it loses it or is told to stop.
+Every instance follows the logs and answers callers. The one that wins a claim also
+holds the cell, until it loses it or is stopped.
 """
 
 import asyncio
@@ -16,14 +16,19 @@
 from hornbeampaddle.cell.workers import WorkerListing
 
 from .appender import Appender
-from .callers import Callers
+from .callers import CallerApi
 from .evacuations import Evacuations
 from .follower import Follower, Handler
 from .holder import Holder
 from .leadership import HOLDER_KEY, HolderRecord, Leadership, encode_holder
 from .ledger import Ledger
 from .metrics import MeteredStore, Metrics
-from .peers import READ_S, RENEW_S, PeerBook, peer_record
+from .peers import (
+    PEERS_READ_INTERVAL_S,
+    RECORD_RENEWAL_INTERVAL_S,
+    PeerDirectory,
+    peer_record,
+)
 from .ports import (
     AdvicePort,
     Appended,
@@ -41,24 +46,24 @@
 from .relay import PeerCaller, Relay
 from .routing import Routing
 from .settings import InstanceSettings
-from .unreadable import Unreadable
+from .unreadable import UnreadableRecords
 
 log = structlog.get_logger()
 
-# How often an instance looks whether the cell is vacant: a tenth of the time
-# after which a silent holder is replaced.
-WATCH_S = 0.1
-# Logs that an instance polls while it does not hold the cell: jobs and progress.
+# How often an instance checks whether to claim the cell: a tenth of the time after
+# which a silent holder is replaced.
+LEADERSHIP_CHECK_INTERVAL_S = 0.1
+# Number of logs that an instance on standby polls: jobs and progress.
 STANDBY_LOG_COUNT = 2
-# Share of the store's read rate available to standby reads; the rest is left for the
-# holder, the operator's log, new instances and retries.
+# Share of the store's read rate for standby reads; the rest is left for the holder,
+# the operator's log, new instances and retries.
 STANDBY_READS_RATIO = 0.5
-# Longest pause between standby reads: below the age at which a view is stale.
+# Longest pause between standby reads, below the age at which a view is stale.
 STANDBY_PAUSE_MAX_S = 1.0
 
 
 class Instance:
-    """One entry instance."""
+    """One instance: followers, callers' interface, and the holder if elected."""
 
     def __init__(
         self,
@@ -70,36 +75,36 @@
         advice: AdvicePort | None,
         peers: PeerCaller | None = None,
     ) -> None:
-        """Wire the parts; nothing runs before ``run``."""
+        """Connect the components; nothing runs before ``run``."""
         self.settings = settings
         self.clock = clock
         self.metrics = Metrics()
-        self.book = PeerBook(settings.name)
+        self.peer_directory = PeerDirectory(settings.name)
         metered: StorePort = MeteredStore(store, self.metrics)
         self.relay: Relay | None = None
         if peers is not None:
-            self.relay = Relay(metered, self.book, peers, clock)
+            self.relay = Relay(metered, self.peer_directory, peers, clock)
         self.store: StorePort = self.relay or metered
         self.codec = codec
         self.make_worker = make_worker
         self.advice = advice
         self.ledger = Ledger()
-        self._other_services = Unreadable("workers")
+        self._foreign_listings = UnreadableRecords("workers")
         self.leadership = Leadership(settings, Random())
         self.holder: Holder | None = None
         self.stopping = False
-        # Why callers were last said to be better served elsewhere.
-        self._unready_logged = "starting"
-        self.jobs = self._follow(Topic.JOBS, self._take_jobs)
+        # The reason for not being ready that was logged last; empty if ready.
+        self._logged_unready_reason = "starting"
+        self.jobs = self._follow(Topic.JOBS, self._apply_job_records)
         self.jobs.on_reload = self._jobs_reloaded
-        self.progress = self._follow(Topic.PROGRESS, self._take_progress)
-        self.operator = self._follow(Topic.OPERATOR, self._take_operator)
+        self.progress = self._follow(Topic.PROGRESS, self._apply_progress_records)
+        self.operator = self._follow(Topic.OPERATOR, self._apply_operator_records)
         self.operator.on_reload = self._operator_reloaded
         self.evacuations = Evacuations(codec, self._evacuations_changed)
         self.routing = Routing(settings, self.operator)
         self.metrics.watch_configuration(self.routing)
         self.appender = Appender(self.store, Topic.JOBS, clock, settings)
-        self.callers = Callers(
+        self.callers = CallerApi(
             settings,
             clock,
             self.ledger,
@@ -114,31 +119,34 @@
         follower = Follower(self.store, topic, self.clock, handler)
         follower.wait_s = self.settings.read_wait_s
         if topic is Topic.OPERATOR:
-            follower.replacing = True
+            follower.latest_only = True
         else:
             follower.pause_s = self._standby_pause_s()
         return follower
 
     def _standby_pause_s(self) -> float:
         """
-        Return the pause between two reads of a log by an instance on standby.
+        Return the pause between two reads of one log by an instance on standby.
 
-        Guards against hundreds of instances exceeding the read rate of the store.
+        The pause grows with the number of instances, so that hundreds of them stay
+        below the read rate of the store.
         """
         reads_per_s = STANDBY_READS_RATIO * self.settings.store_reads_per_s
-        shared_pause_s = STANDBY_LOG_COUNT * (len(self.book) + 1) / reads_per_s
+        shared_pause_s = (
+            STANDBY_LOG_COUNT * (len(self.peer_directory) + 1) / reads_per_s
+        )
         pause_s = min(STANDBY_PAUSE_MAX_S, shared_pause_s)
         return max(self.settings.standby_read_s, pause_s)
 
     def _follow_peers(self) -> Follower:
-        follower = self._follow(Topic.PEERS, self._take_peers)
+        follower = self._follow(Topic.PEERS, self._apply_peer_records)
         follower.wait_s = 0.0
-        follower.pause_s = READ_S
+        follower.pause_s = PEERS_READ_INTERVAL_S
         return follower
 
-    def _take_peers(self, records: Sequence[Keyed]) -> None:
+    def _apply_peer_records(self, records: Sequence[Keyed]) -> None:
         for record in records:
-            self.book.take(record)
+            self.peer_directory.apply(record)
         if self.holder is None:
             self._set_standby_pauses()
 
@@ -147,44 +155,52 @@
         self.progress.pause_s = self._standby_pause_s()
 
     async def _renew_peer_record(self) -> None:
-        """Say where this instance listens; drop what nobody renews any more."""
+        """
+        Renew this instance's address record until cancelled.
+
+        The holder also deletes the records of peers that stopped renewing theirs.
+        """
         address = self.settings.peer_address
         assert address is not None
         while True:
             wall_s = self.clock.wall_s()
             records = [peer_record(self.settings.name, address, wall_s)]
             if self.holder is not None:
-                records += [Keyed(name, None) for name in self.book.outdated(wall_s)]
+                records += [
+                    Keyed(name, None) for name in self.peer_directory.outdated(wall_s)
+                ]
             outcome = await self.store.append(Topic.PEERS, records, None, None)
             stored = isinstance(outcome, Appended)
-            await asyncio.sleep(RENEW_S if stored else self.settings.stale_s)
+            await asyncio.sleep(
+                RECORD_RENEWAL_INTERVAL_S if stored else self.settings.stale_s
+            )
 
     @property
     def configuration(self) -> Configuration | None:
-        """Return the configuration in force."""
+        """The configuration in force; ``None`` before the first."""
         return self.routing.configuration
 
     def ready(self) -> bool:
-        """Tell whether new callers are well served here; log when that changes."""
-        why = self._unready()
-        if why != self._unready_logged:
+        """Return whether this instance is ready for new callers; log changes."""
+        why = self._unready_reason()
+        if why != self._logged_unready_reason:
             ages_s = {
                 follower.topic.value: round(follower.age_s(), 3)
                 for follower in (self.operator, self.jobs, self.progress)
                 if math.isfinite(follower.age_s())
             }
             log.info("ready: no" if why else "ready: yes", why=why, ages_s=ages_s)
-            self._unready_logged = why
+            self._logged_unready_reason = why
         return not why
 
-    def _unready(self) -> str:
-        """Return why new callers are better served elsewhere; empty if they are not."""
+    def _unready_reason(self) -> str:
+        """Return why this instance is not ready; empty if it is."""
         if self.stopping:
             return "stopping"
         if self.configuration is None:
             return "no_configuration"
-        # Guards against an instance that has the logs of jobs through its peers but not
-        # the operator's, and serves callers by a configuration of long ago.
+        # An instance may get the logs of jobs and progress through its peers but not
+        # the operator's log; it would serve callers by an outdated configuration.
         configured = self.operator.age_s() < self.settings.stale_s
         if not configured or not self.callers.fresh():
             return "view_too_old"
@@ -197,7 +213,7 @@
             for follower in (self.operator, self.jobs, self.progress):
                 group.create_task(follower.run())
             group.create_task(self.appender.run())
-            group.create_task(self._watch())
+            group.create_task(self._watch_leadership())
             group.create_task(self.metrics.watch_loop())
             if self.relay is not None:
                 group.create_task(self.relay.run())
@@ -205,7 +221,7 @@
                 group.create_task(self._renew_peer_record())
 
     async def stop(self) -> None:
-        """Say that no new callers are wanted, and let the cell go."""
+        """Become not ready for new callers, and release the cell if held."""
         self.stopping = True
         holder = self.holder
         if holder is not None:
@@ -216,68 +232,68 @@
             except TimeoutError:
                 log.warning("holder: not released in time", epoch=holder.epoch)
 
-    # What the logs say
+    # Records of the logs
 
-    def _take_jobs(self, records: Sequence[Keyed]) -> None:
+    def _apply_job_records(self, records: Sequence[Keyed]) -> None:
         for record in records:
-            change, job_id = self.ledger.take_job(record)
+            change, job_id = self.ledger.apply_job(record)
             if self.holder is not None:
                 self.holder.job_changed(change, job_id)
 
-    def _jobs_reloaded(self, names: set[str]) -> None:
+    def _jobs_reloaded(self, keys: set[str]) -> None:
         """
-        Forget the jobs that are no longer in the log of jobs, which was read whole.
+        Remove the jobs that a full read of the log of jobs did not return.
 
-        Guards against a dropped job that shows as queued and runs again under this
-        instance: the newest records do not name what was deleted.
+        The newest records do not include deleted keys. Otherwise a deleted job would
+        show as queued, and run again when this instance holds the cell.
         """
-        gone = [job_id for job_id in self.ledger.jobs if job_id not in names]
-        self._take_jobs([Keyed(job_id, None) for job_id in gone])
+        gone = [job_id for job_id in self.ledger.jobs if job_id not in keys]
+        self._apply_job_records([Keyed(job_id, None) for job_id in gone])
 
-    def _take_progress(self, records: Sequence[Keyed]) -> None:
+    def _apply_progress_records(self, records: Sequence[Keyed]) -> None:
         now_s = self.clock.now_s()
         for record in records:
             if record.key == HOLDER_KEY:
-                self._take_holder(record, now_s)
+                self._apply_holder_record(record, now_s)
             elif self.holder is None or self._replaced(self.holder):
-                self.ledger.take_progress(record, now_s)
-        self.leadership.sign_of_life(now_s)
+                self.ledger.apply_progress(record, now_s)
+        self.leadership.note_activity(now_s)
 
     def _replaced(self, holder: Holder) -> bool:
         """
-        Tell whether the log names a later holder than the one of this instance.
+        Return whether the log names a later holder than this instance's ``holder``.
 
-        Guards against a holder that gets no answers to what it stores and shows old
-        states of its successor's jobs: records after the later claim are not its
-        own, and nobody but the log will give them to it.
+        Records after a later claim are the successor's, so they are applied from the
+        log. Otherwise a replaced holder whose appends stay unanswered would show
+        outdated states of its successor's jobs.
         """
         return self.leadership.epoch > holder.epoch
 
-    def _take_holder(self, record: Keyed, now_s: float) -> None:
+    def _apply_holder_record(self, record: Keyed, now_s: float) -> None:
         before = self.leadership.holder
         self.leadership.observe(record.value, now_s)
         after = self.leadership.holder
         if after != before:
             log.info(
-                "holder: seen",
+                "holder: changed",
                 name=after.name if after is not None else "",
                 epoch=after.epoch if after is not None else 0,
                 vacant=self.leadership.vacant,
             )
         if self.holder is not None and self._replaced(self.holder):
-            self.holder.lose("the log names a later holder")
+            self.holder.step_down("the log names a later holder")
 
-    def _take_operator(self, records: Sequence[Keyed]) -> None:
+    def _apply_operator_records(self, records: Sequence[Keyed]) -> None:
         for record in records:
             match self.codec.configuration(record):
                 case Configuration() as configuration:
                     self._configure(configuration)
                 case UnreadableConfiguration():
                     self.routing.configuration_unreadable = True
-            self.evacuations.take(record)
+            self.evacuations.apply(record)
 
-    def _operator_reloaded(self, names: set[str]) -> None:
-        self.evacuations.keep_only(names)
+    def _operator_reloaded(self, keys: set[str]) -> None:
+        self.evacuations.keep_only(keys)
 
     def _evacuations_changed(self) -> None:
         data_centres = self.evacuations.data_centres
@@ -286,7 +302,7 @@
             self.holder.evacuate(data_centres)
 
     def _configure(self, configuration: Configuration) -> None:
-        if not self.routing.take(configuration):
+        if not self.routing.apply(configuration):
             return
         log.info(
             "configuration: in force",
@@ -298,14 +314,14 @@
 
     # Holding the cell
 
-    async def _watch(self) -> None:
+    async def _watch_leadership(self) -> None:
         while True:
-            await asyncio.sleep(WATCH_S)
+            await asyncio.sleep(LEADERSHIP_CHECK_INTERVAL_S)
             if self.stopping:
                 continue
             if self.leadership.holds(self.settings.instance_id):
-                # A claim without an answer may be stored late: nobody else has
-                # claimed since, so the cell is ours.
+                # A claim that timed out may still have been stored later. No other
+                # instance has claimed since, so this instance holds the cell.
                 await self._try_hold(self.leadership.epoch)
             elif self._may_claim():
                 epoch = await self._claim()
@@ -317,8 +333,8 @@
         now_s = self.clock.now_s()
         if self.configuration is None or self.progress.offset is None:
             return False
-        # Without a recent look at the log its end is not known, and the holder
-        # may be alive: such a claim would fail, and cost a call.
+        # Without a recent read the end of the log is not known and the holder may be
+        # active: the claim would fail and waste a call.
         if self.progress.age_s() > self.settings.cell.claim_after_s:
             return False
         return self.leadership.claim_due(now_s)
@@ -327,9 +343,9 @@
         """
         Try to become the holder; return the epoch that was won.
 
-        The claim names no producer: the log answers a repeat under the same
-        producer and number like the first, and two claimants that send the
-        same ones would both read that they had won.
+        The claim has no producer. The log answers a repeated producer and sequence
+        number like the first append, so two claimants that send the same ones would
+        both be told that they had won.
         """
         at_offset = self.progress.offset
         assert at_offset is not None
@@ -341,7 +357,7 @@
         if isinstance(outcome, Appended):
             return epoch
         if isinstance(outcome, NoAnswer):
-            # It may have been stored: if so, the log says that we hold it.
+            # The claim may have been stored; if so, the log names this instance.
             await self.progress.catch_up(self.settings.append_timeout_s)
             if self.leadership.holder == record:
                 return epoch
@@ -349,12 +365,12 @@
 
     async def _fence(self, epoch: int) -> float | None:
         """
-        Keep every earlier holder from storing anything more.
+        Fence off every earlier holder, so that the log rejects its appends.
 
-        Returns when the fence was asked for, once this instance has read all
-        that was stored before it; nothing if the cell is already another's.
-        An earlier holder may still have stored something between the claim and
-        the fence: deciding without having read it would run a task twice.
+        Returns the local time at which the fence was sent, once this instance has read
+        everything stored before it; ``None`` if that failed or the cell has another
+        holder. An earlier holder may have stored records between the claim and the
+        fence; a decision made without reading them could run a task twice.
         """
         sent_at_s = self.clock.now_s()
         producer = Producer(PRODUCER_NAME, epoch, 0)
@@ -362,17 +378,17 @@
         if not isinstance(outcome, Appended):
             log.info("fence: answered", epoch=epoch, outcome=type(outcome).__name__)
             return None
-        patience_s = self.settings.cell.holder_lapse_s
+        timeout_s = self.settings.cell.holder_lapse_s
         while (self.progress.offset or 0) < outcome.end_offset:
-            if self.clock.now_s() - sent_at_s > patience_s:
+            if self.clock.now_s() - sent_at_s > timeout_s:
                 return None
-            await self.progress.catch_up(patience_s)
-        # Guards against a job that this instance has not heard of: its task's end
-        # would be acknowledged without being taken in, and when the job arrived
-        # its task would run a second time. Whatever an earlier holder started was
-        # in the log of jobs before the fence, so one whole look after it suffices.
-        if not await self.jobs.catch_up(patience_s):
-            log.warning("fence: the log of jobs cannot be read", epoch=epoch)
+            await self.progress.catch_up(timeout_s)
+        # The end of a task whose job this instance has not read yet would be
+        # acknowledged without being recorded, and the task would run a second time
+        # once the job arrived. Everything that an earlier holder started was in the
+        # log of jobs before the fence, so one complete read after it suffices.
+        if not await self.jobs.catch_up(timeout_s):
+            log.warning("fence: log of jobs could not be read in time", epoch=epoch)
             return None
         return sent_at_s if self.leadership.epoch <= epoch else None
 
@@ -403,10 +419,10 @@
         self.jobs.pause_s = 0.0
         self.jobs.wait_s = self.settings.holder_read_wait_s
         self.progress.pause_s = self.settings.read_wait_s
-        workers = self._follow(Topic.WORKERS, self._take_workers)
+        workers = self._follow(Topic.WORKERS, self._apply_worker_records)
         workers.wait_s = 0.0
         workers.pause_s = self.settings.workers_read_s
-        workers.on_reload = self._reloaded
+        workers.on_reload = self._worker_list_reloaded
         holder.list_complete_at_s = lambda: workers.complete_at_s
         following = asyncio.create_task(workers.run())
         try:
@@ -416,44 +432,47 @@
             self.holder = None
             self.jobs.wait_s = self.settings.read_wait_s
             self._set_standby_pauses()
-            # What others stored since then was not taken in: read it again.
+            # Records that others stored meanwhile were not applied: read the log of
+            # progress again from its newest records.
             self.progress.offset = None
             self.leadership.lost()
 
-    def _take_workers(self, records: Sequence[Keyed]) -> None:
+    def _apply_worker_records(self, records: Sequence[Keyed]) -> None:
         if self.holder is None:
             return
         listed: dict[str, WorkerListing] = {}
         gone: list[str] = []
         for record in records:
             listing = self.codec.worker(record)
-            if listing is None or not self._names_service(listing):
+            if listing is None or not self._is_known_service(listing):
                 listed.pop(record.key, None)
                 gone.append(record.key)
             else:
                 listed[record.key] = listing
         gone = [worker_id for worker_id in gone if worker_id not in listed]
-        self.holder.list_workers(list(listed.values()), gone)
+        self.holder.update_worker_list(list(listed.values()), gone)
 
-    def _names_service(self, listing: WorkerListing) -> bool:
+    def _is_known_service(self, listing: WorkerListing) -> bool:
         """
-        Tell whether a listing is of a service that the configuration names.
+        Return whether the configuration names the service of a listing.
 
-        Guards against calls to whatever listens at the address of another writer's
-        entry. Workers write theirs every second, so one whose service comes later is
-        taken in then.
+        Listings of other services may be written by other programs, and whatever
+        listens at their addresses must not be called. Workers write their listing
+        every second, so one whose service is configured later is accepted then.
         """
         assert self.configuration is not None
         services = self.configuration.services
         if not services or listing.service in services:
-            self._other_services.readable(listing.worker_id)
+            self._foreign_listings.mark_readable(listing.worker_id)
             return True
-        self._other_services.note(listing.worker_id, f"service {listing.service!r}")
+        self._foreign_listings.mark_unreadable(
+            listing.worker_id, f"service {listing.service!r}"
+        )
         return False
 
-    def _reloaded(self, names: set[str]) -> None:
-        """Take in that the list was read whole: others are no longer in it."""
+    def _worker_list_reloaded(self, keys: set[str]) -> None:
+        """Remove the workers that a full read of the list did not return."""
         if self.holder is None:
             return
-        for worker_id in set(self.holder.cell.workers) - names:
+        for worker_id in set(self.holder.cell.workers) - keys:
             self.holder.cell.unlist_worker(worker_id)
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/leadership.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/leadership.py
@@ -1,11 +1,11 @@
 """
 Decide when an instance claims the cell, and whether it still holds it.
 
-The holder is the sole writer of the log of progress, so every record there is
-a sign of its life. A claim is an append on the condition that the log ends
-where the claimant has read to; it also raises the writer's epoch, so that
-nothing of an earlier holder is stored after it. The epoch is one more than the
-offset of the claim, so no two holders ever share one.
+The holder is the only writer of the log of progress, so every record there serves as
+its heartbeat. A claim is an append on the condition that the log ends at the offset
+up to which the claimant has read. It also raises the writer's epoch, so that the log
+rejects later appends of earlier holders. The epoch is the offset of the claim plus
+one, so no two holders share an epoch.
 """
 
 from dataclasses import dataclass, field
@@ -14,15 +14,15 @@
 import msgspec
 
 from .settings import InstanceSettings
-from .unreadable import Unreadable
+from .unreadable import UnreadableRecords
 
 HOLDER_KEY = ".holder"
-# Stands for a holder that is not us, until the log names it.
+# Instance id of a holder that is another instance, until the log names it.
 UNKNOWN_HOLDER = "?"
 
 
 class HolderRecord(msgspec.Struct, array_like=True, frozen=True):
-    """Who holds the cell: empty if the last holder has let it go."""
+    """The holder of the cell; ``instance_id`` is empty after a release."""
 
     instance_id: str
     epoch: int
@@ -39,64 +39,66 @@
 
 @dataclass(slots=True)
 class Leadership:
-    """What one instance knows of the holder, from the log alone."""
+    """One instance's knowledge of the holder, read from the log of progress only."""
 
     settings: InstanceSettings
     random: Random
     holder: HolderRecord | None = None
-    last_sign_s: float = float("-inf")
-    delay_s: float = 0.0
-    unreadable: Unreadable = field(default_factory=lambda: Unreadable("progress"))
+    last_activity_s: float = float("-inf")
+    claim_delay_s: float = 0.0
+    unreadable: UnreadableRecords = field(
+        default_factory=lambda: UnreadableRecords("progress")
+    )
 
     def begin(self, now_s: float) -> None:
-        """Start to watch; whoever holds the cell gets time to show it."""
-        self.last_sign_s = now_s
-        self._draw_delay()
+        """Restart the silence timer, so that a current holder has time to write."""
+        self.last_activity_s = now_s
+        self._draw_claim_delay()
 
-    def _draw_delay(self) -> None:
-        # The larger the machine the sooner it claims, so that the largest that
-        # lives becomes the holder, which needs most of a core in a large cell.
+    def _draw_claim_delay(self) -> None:
+        # Instances with more cores claim earlier, so that the largest running one
+        # becomes the holder, which needs most of a core in a large cell.
         size_delay_s = self.settings.claim_delay_core_s / self.settings.cores
         jitter_s = self.random.uniform(0, self.settings.claim_jitter_s)
-        self.delay_s = size_delay_s + jitter_s
+        self.claim_delay_s = size_delay_s + jitter_s
 
-    def sign_of_life(self, now_s: float) -> None:
-        """Note a record of the holder."""
-        self.last_sign_s = now_s
+    def note_activity(self, now_s: float) -> None:
+        """Restart the silence timer after any record of the holder."""
+        self.last_activity_s = now_s
 
     def observe(self, value: bytes | None, now_s: float) -> None:
-        """Take in a holder record; one that cannot be read changes nothing."""
+        """Apply a holder record; one that cannot be decoded keeps the known holder."""
         try:
             self.holder = _decoder.decode(value) if value else None
         except msgspec.DecodeError as error:
-            self.unreadable.note(HOLDER_KEY, str(error))
-        self.last_sign_s = now_s
-        self._draw_delay()
+            self.unreadable.mark_unreadable(HOLDER_KEY, str(error))
+        self.last_activity_s = now_s
+        self._draw_claim_delay()
 
     @property
     def vacant(self) -> bool:
-        """Tell whether the last holder has let the cell go, or there was none."""
+        """Whether the last holder released the cell, or there never was one."""
         return self.holder is None or not self.holder.instance_id
 
     def claim_due(self, now_s: float) -> bool:
         """
-        Tell whether to claim the cell now.
+        Return whether to claim the cell now.
 
-        A holder gives no orders after ``holder_lapse_s`` without a stored
-        record, so at ``claim_after_s`` none of its orders is still to be sent.
+        A holder sends no orders once ``holder_lapse_s`` has passed without a stored
+        record, so after ``claim_after_s`` none of its orders remains to be sent.
         """
-        silent_s = now_s - self.last_sign_s
+        silent_s = now_s - self.last_activity_s
         if self.vacant:
-            return silent_s >= self.delay_s
-        return silent_s >= self.settings.cell.claim_after_s + self.delay_s
+            return silent_s >= self.claim_delay_s
+        return silent_s >= self.settings.cell.claim_after_s + self.claim_delay_s
 
     @property
     def epoch(self) -> int:
-        """Return the newest holder's epoch, 0 if there never was one."""
+        """The newest holder's epoch; 0 if there never was one."""
         return self.holder.epoch if self.holder is not None else 0
 
     def lost(self) -> None:
-        """Note that the cell is no longer ours, whatever was read before."""
+        """Mark the cell as held by another instance, whatever was read before."""
         self.holder = (
             None
             if self.holder is None
@@ -104,5 +106,5 @@
         )
 
     def holds(self, instance_id: str) -> bool:
-        """Tell whether the newest record names this instance."""
+        """Return whether the newest holder record names ``instance_id``."""
         return self.holder is not None and self.holder.instance_id == instance_id
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/ledger.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/ledger.py
@@ -1,8 +1,8 @@
 """
-Keep the newest record of each job, as any instance reads it from the log.
+Keep the jobs and their progress, as read from the logs of jobs and progress.
 
-Every instance has one, so every instance answers callers, and whoever becomes
-the holder starts from it.
+Every instance keeps a ledger, so that every instance can answer callers, and a new
+holder starts from it.
 """
 
 from collections import defaultdict
@@ -15,23 +15,23 @@
 from hornbeampaddle.cell.progress import JobStatus, decode_status
 
 from .ports import Keyed
-from .unreadable import Unreadable
+from .unreadable import UnreadableRecords
 
-CANCEL_MARK = "x"
-# Records of the log of progress that are no job's begin with this.
-SPECIAL_MARK = "."
+CANCEL_PREFIX = "x"
+# Prefix of the keys in the log of progress that are not job ids.
+NON_JOB_PREFIX = "."
 INTERFERENCE_KEY = ".interference"
-LAPSES_KEY = ".lapses"
-SWINGS_KEY = ".swings"
+LEASE_EXPIRY_KEY = ".lapses"
+LOAD_PERIOD_KEY = ".swings"
 _job_decoder = msgspec.msgpack.Decoder(Job)
 _job_encoder = msgspec.msgpack.Encoder()
-_lapses_decoder = msgspec.msgpack.Decoder(dict[str, float])
+_lease_expiry_decoder = msgspec.msgpack.Decoder(dict[str, float])
 _slopes_decoder = msgspec.msgpack.Decoder(dict[str, dict[str, float]])
 _period_decoder = msgspec.msgpack.Decoder(float)
 
 
-class Change(Enum):
-    """What a record of the log of jobs was."""
+class JobChange(Enum):
+    """What a record of the log of jobs changed."""
 
     ACCEPTED = "accepted"
     CANCELLED = "cancelled"
@@ -41,113 +41,115 @@
 
 
 def job_record(job: Job) -> Keyed:
-    """Return the record by which a job is accepted."""
+    """Return the record that accepts a job."""
     return Keyed(job.job_id, _job_encoder.encode(job))
 
 
-def slopes_record(slopes: dict[str, dict[str, float]]) -> Keyed:
-    """Return the record of what was learned of pairs of images."""
+def interference_record(slopes: dict[str, dict[str, float]]) -> Keyed:
+    """Return the record of the slopes of interference between pairs of images."""
     return Keyed(INTERFERENCE_KEY, msgspec.msgpack.encode(slopes))
 
 
-def period_record(period_s: float) -> Keyed:
-    """Return the record of the period that users' loads share."""
-    return Keyed(SWINGS_KEY, msgspec.msgpack.encode(period_s))
+def load_period_record(period_s: float) -> Keyed:
+    """Return the record of the common period of the users' loads."""
+    return Keyed(LOAD_PERIOD_KEY, msgspec.msgpack.encode(period_s))
 
 
-def lapses_record(left_s: dict[str, float]) -> Keyed:
-    """Return the record that says how long the leases of silent workers may last."""
-    return Keyed(LAPSES_KEY, msgspec.msgpack.encode(left_s))
+def lease_expiry_record(left_s: dict[str, float]) -> Keyed:
+    """Return the record of how long the leases of silent workers may still last."""
+    return Keyed(LEASE_EXPIRY_KEY, msgspec.msgpack.encode(left_s))
 
 
 def cancel_record(job_id: str) -> Keyed:
-    """Return the record by which a job is cancelled."""
-    return Keyed(CANCEL_MARK + job_id, b"1")
+    """Return the record that cancels a job."""
+    return Keyed(CANCEL_PREFIX + job_id, b"1")
 
 
 @dataclass(slots=True)
 class Ledger:
-    """Jobs, cancellations and progress by job id."""
+    """Jobs, cancellations, progress and the holder's models, from the logs."""
 
     jobs: dict[str, Job] = field(default_factory=dict)
     cancelled: set[str] = field(default_factory=set)
     progress: dict[str, bytes] = field(default_factory=dict)
-    # What the holder has learned: slopes of pairs of images, and the period that users'
-    # loads share, if one was found.
+    # The holder's interference model: slopes by pairs of images, and the common period
+    # of the users' loads, if one was found.
     slopes: dict[str, dict[str, float]] = field(default_factory=dict)
     period_s: float | None = None
-    # When the leases of silent workers are over, by this instance's clock. It is
-    # counted from the time at which the record was read: after it was written, so
-    # that the leases end no later.
-    lapses_at_s: dict[str, float] = field(default_factory=dict)
+    # When the leases of silent workers expire, on this instance's clock. The remaining
+    # time counts from when the record was read, which is after it was written, so the
+    # leases end no later than that.
+    lease_expiry_at_s: dict[str, float] = field(default_factory=dict)
     by_queue: dict[str, set[str]] = field(default_factory=lambda: defaultdict(set))
-    unreadable_jobs: Unreadable = field(default_factory=lambda: Unreadable("jobs"))
-    unreadable_progress: Unreadable = field(
-        default_factory=lambda: Unreadable("progress")
+    unreadable_jobs: UnreadableRecords = field(
+        default_factory=lambda: UnreadableRecords("jobs")
+    )
+    unreadable_progress: UnreadableRecords = field(
+        default_factory=lambda: UnreadableRecords("progress")
     )
 
-    def take_job(self, record: Keyed) -> tuple[Change, str]:
-        """Take in a record of the log of jobs."""
-        if record.key.startswith(CANCEL_MARK):
-            job_id = record.key[len(CANCEL_MARK) :]
+    def apply_job(self, record: Keyed) -> tuple[JobChange, str]:
+        """Apply a record of the log of jobs; return its change and the job id."""
+        if record.key.startswith(CANCEL_PREFIX):
+            job_id = record.key[len(CANCEL_PREFIX) :]
             if record.value is None:
                 self.cancelled.discard(job_id)
-                return Change.FORGOTTEN, job_id
+                return JobChange.FORGOTTEN, job_id
             self.cancelled.add(job_id)
-            return Change.CANCELLED, job_id
+            return JobChange.CANCELLED, job_id
         job_id = record.key
         if record.value is None:
-            self._forget(job_id)
-            return Change.FORGOTTEN, job_id
+            self._remove_job(job_id)
+            return JobChange.FORGOTTEN, job_id
         if job_id in self.jobs:
-            # The first record of an id is the job; another instance took in
-            # the same request again.
-            return Change.REPEATED, job_id
+            # The first record of an id defines the job. Another instance accepted the
+            # same request again.
+            return JobChange.REPEATED, job_id
         try:
             job = _job_decoder.decode(record.value)
         except (msgspec.DecodeError, UnicodeDecodeError) as error:
-            self.unreadable_jobs.note(job_id, str(error))
-            return Change.UNREADABLE, job_id
+            self.unreadable_jobs.mark_unreadable(job_id, str(error))
+            return JobChange.UNREADABLE, job_id
         self.jobs[job_id] = job
         self.by_queue[job.queue.name].add(job_id)
-        return Change.ACCEPTED, job_id
+        return JobChange.ACCEPTED, job_id
 
-    def _forget(self, job_id: str) -> None:
+    def _remove_job(self, job_id: str) -> None:
         job = self.jobs.pop(job_id, None)
         if job is not None:
             self.by_queue[job.queue.name].discard(job_id)
         self.progress.pop(job_id, None)
         self.cancelled.discard(job_id)
 
-    def take_progress(self, record: Keyed, read_at_s: float) -> None:
-        """Take in a record of the log of progress, read at a local time."""
+    def apply_progress(self, record: Keyed, read_at_s: float) -> None:
+        """Apply a record of the log of progress, read at ``read_at_s`` local time."""
         try:
-            self._take_progress(record, read_at_s)
+            self._apply_progress(record, read_at_s)
         except (msgspec.DecodeError, UnicodeDecodeError, ValueError) as error:
-            # Guards against a job that begins anew, or a holder that ends: what was
-            # read of the key before holds.
-            self.unreadable_progress.note(record.key, str(error))
+            # The value read before stays valid: without it a job would start again, and
+            # an error raised here would end the holder.
+            self.unreadable_progress.mark_unreadable(record.key, str(error))
 
-    def _take_progress(self, record: Keyed, read_at_s: float) -> None:
+    def _apply_progress(self, record: Keyed, read_at_s: float) -> None:
         value = record.value
-        if record.key == LAPSES_KEY:
-            left_s = _lapses_decoder.decode(value) if value else {}
-            self.lapses_at_s = {name: read_at_s + s for name, s in left_s.items()}
+        if record.key == LEASE_EXPIRY_KEY:
+            left_s = _lease_expiry_decoder.decode(value) if value else {}
+            self.lease_expiry_at_s = {name: read_at_s + s for name, s in left_s.items()}
         elif record.key == INTERFERENCE_KEY:
             self.slopes = _slopes_decoder.decode(value) if value else {}
-        elif record.key == SWINGS_KEY:
+        elif record.key == LOAD_PERIOD_KEY:
             self.period_s = _period_decoder.decode(value) if value else None
-        elif record.key.startswith(SPECIAL_MARK):
+        elif record.key.startswith(NON_JOB_PREFIX):
             return
         elif value is None:
             self.progress.pop(record.key, None)
         else:
-            # Read for its form alone: what can be read now can be read later.
+            # Decoded only to validate the value before it is kept.
             decode_status(value)
             self.progress[record.key] = value
 
     def status(self, job_id: str) -> JobStatus | None:
-        """Return a job's status, or nothing if it is not known."""
+        """Return a job's status, or ``None`` if the job is not known."""
         if job_id not in self.jobs:
             return None
         value = self.progress.get(job_id)
@@ -157,7 +159,7 @@
         return status
 
     def pending(self, queue_name: str) -> int:
-        """Count a queue's jobs of which nothing has started."""
+        """Count a queue's jobs of which no task has started."""
         return sum(
             1
             for job_id in self.by_queue.get(queue_name, ())
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/logs.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/logs.py
@@ -1,9 +1,9 @@
 """
-Write structured logs to standard output without ever waiting for its reader.
+Write structured logs to standard output without ever blocking on its reader.
 
-Lines are collected and written together a few times a second. What the reader
-has not taken stays in a bounded buffer; beyond it lines are dropped, counted,
-and the count is logged as soon as there is room.
+Lines are collected and written in batches a few times a second. Lines that the reader
+has not read yet stay in a bounded buffer. When it is full, lines are dropped and
+counted, and the count is logged as soon as there is room.
 """
 
 import asyncio
@@ -16,40 +16,40 @@
 import msgspec
 import structlog
 
-FLUSH_S = 0.2
-# One buffer of a pipe, several times over: a reader that is away for a second
-# loses nothing at 2,000 lines a second.
+FLUSH_INTERVAL_S = 0.2
+# Several times the buffer of a pipe: if the reader stalls for a second, no line is lost
+# at 2,000 lines a second.
 BUFFER_BYTES = 1024 * 1024
-# Each write carries whole lines up to this size: a pipe takes so much whole or not at
-# all, and of more it may take a part.
-WRITE_BYTES = select.PIPE_BUF
-# Repeats of one event beyond this many a second are counted instead of kept;
-# refusals and failures have few events of their own and stay below it.
-EVENT_LINES_PER_S = 600
+# Largest write of several lines: a pipe accepts up to this size completely or not at
+# all, and may accept a part of a larger write.
+ATOMIC_WRITE_MAX_BYTES = select.PIPE_BUF
+# Lines of one event beyond this rate are counted instead of written; the few events
+# for refusals and failures stay below it.
+EVENT_LINES_PER_S_MAX = 600
 
 _encode = msgspec.json.Encoder(enc_hook=repr).encode
 
 
 class LogWriter:
-    """A bounded buffer in front of a file descriptor that never blocks."""
+    """A bounded buffer in front of a non-blocking file descriptor."""
 
     def __init__(self, descriptor: int) -> None:
-        """Make writes to the descriptor return at once."""
+        """Make the descriptor non-blocking."""
         self.descriptor = descriptor
-        # Lines that were dropped since that was last logged, by their event.
+        # Number of dropped lines by event, since the last report of them.
         self.dropped: Counter[str] = Counter()
         self.dropped_total = 0
         self.on_drop: Callable[[], None] | None = None
         self._lines: deque[bytes] = deque()
         self._size_bytes = 0
-        self._counts: dict[str, int] = {}
+        self._event_counts: dict[str, int] = {}
         os.set_blocking(descriptor, False)
 
     def add(self, event: str, line: bytes) -> None:
-        """Keep a line, or count it as dropped."""
-        count = self._counts.get(event, 0) + 1
-        self._counts[event] = count
-        limit = EVENT_LINES_PER_S * FLUSH_S
+        """Buffer a line, or count it as dropped."""
+        count = self._event_counts.get(event, 0) + 1
+        self._event_counts[event] = count
+        limit = EVENT_LINES_PER_S_MAX * FLUSH_INTERVAL_S
         if count > limit or self._size_bytes + len(line) > BUFFER_BYTES:
             self.dropped[event] += 1
             if self.on_drop is not None:
@@ -59,41 +59,43 @@
         self._size_bytes += len(line)
 
     def flush(self) -> None:
-        """Write what the reader takes now."""
-        self._counts.clear()
-        self._note_dropped()
-        while self._lines and self._write(self._chunk()):
+        """Write as much as the reader accepts now."""
+        self._event_counts.clear()
+        self._log_dropped()
+        while self._lines and self._write(self._next_chunk()):
             pass
 
-    def _chunk(self) -> bytes:
+    def _next_chunk(self) -> bytes:
         """
-        Take as many whole lines as one write carries, or one that is longer.
+        Remove and return as many whole lines as fit into one write, at least one.
 
-        Guards against lines that are torn, and others that are lost between: a reader
-        was found that says it has taken a longer write whole, and has taken 8 KiB.
+        Some readers report that they accepted a longer write completely but accept only
+        8 KiB of it, which tears lines and loses others in between.
         """
         taken = [self._lines.popleft()]
         size_bytes = len(taken[0])
-        while self._lines and size_bytes + len(self._lines[0]) <= WRITE_BYTES:
+        while (
+            self._lines and size_bytes + len(self._lines[0]) <= ATOMIC_WRITE_MAX_BYTES
+        ):
             size_bytes += len(self._lines[0])
             taken.append(self._lines.popleft())
         return b"".join(taken)
 
     def _write(self, data: bytes) -> bool:
-        """Write once; keep what was not taken, and tell whether all was."""
+        """Write once, keep what was not accepted; return whether all was."""
         try:
             written = os.write(self.descriptor, data)
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody reads any more; the process goes on without its log.
+            # The reader is gone; the process continues without its log.
             written = len(data)
         self._size_bytes -= written
         if written < len(data):
             self._lines.appendleft(data[written:])
         return written == len(data)
 
-    def _note_dropped(self) -> None:
+    def _log_dropped(self) -> None:
         if not self.dropped or self._size_bytes > BUFFER_BYTES // 2:
             return
         lines = self.dropped.total()
@@ -105,14 +107,14 @@
         self.dropped.clear()
 
     async def run(self) -> None:
-        """Flush until cancelled."""
+        """Flush periodically until cancelled."""
         while True:
-            await asyncio.sleep(FLUSH_S)
+            await asyncio.sleep(FLUSH_INTERVAL_S)
             self.flush()
 
 
 class _Logger:
-    """What structlog calls with a finished line."""
+    """The logger that structlog calls with a rendered line."""
 
     def __init__(self, writer: LogWriter) -> None:
         self._writer = writer
@@ -124,7 +126,7 @@
 
 
 def set_up(instance: str, descriptor: int = 1) -> LogWriter:
-    """Send all logs of this process through one writer."""
+    """Configure structlog to send all logs of this process through one writer."""
     writer = LogWriter(descriptor)
 
     def render(
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/metrics.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/metrics.py
@@ -1,9 +1,9 @@
 """
-Count and time what an instance does, for its metrics address.
+Collect the Prometheus metrics of an instance.
 
-Names follow the conventions of Prometheus: a unit as suffix, ``_total`` for
-counters. The ports to the store and to workers are counted by wrappers, so that
-no caller of a port has to remember to.
+Names follow the conventions of Prometheus: a unit as suffix, ``_total`` for counters.
+Wrappers around the ports to the store and to workers count the calls, so that no
+caller of a port has to.
 """
 
 import asyncio
@@ -39,16 +39,16 @@
 if TYPE_CHECKING:
     from .routing import Routing
 
-# Seconds; from a fast answer of the store to a caller's whole deadline.
+# From a fast answer of the store to the longest deadline of a caller.
 LATENCY_BUCKETS_S = (0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1, 2, 5, 10, 30)
-LAG_EVERY_S = 0.5
+LOOP_LAG_INTERVAL_S = 0.5
 
 
 class Metrics:
     """All counters, gauges and histograms of one instance."""
 
     def __init__(self) -> None:
-        """Start at zero, in a registry of its own."""
+        """Create all metrics in a separate registry."""
         self.registry = CollectorRegistry()
         # Latest sample of the event loop lag.
         self.loop_lag_s = 0.0
@@ -127,27 +127,27 @@
         )
 
     def text(self) -> bytes:
-        """Return everything in the text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def answered(self, call: str, outcome: str, took_s: float) -> None:
-        """Count an answer to a caller."""
+        """Count an answer to a caller and its duration."""
         self.requests.labels(call, outcome).inc()
         self.request_seconds.labels(call).observe(took_s)
 
-    def noted(self, note: LogEntry) -> None:
-        """Count a decision of the holder."""
-        detail = note.detail
+    def count_log_entry(self, entry: LogEntry) -> None:
+        """Count a decision of the holder, and observe waits and job ages."""
+        detail = entry.detail
         reason = next((str(detail[k]) for k in REASON_FIELDS if k in detail), "")
-        self.decisions.labels(note.event, reason).inc()
-        if note.event == "start":
+        self.decisions.labels(entry.event, reason).inc()
+        if entry.event == "start":
             self.wait_seconds.observe(float(str(detail["waited_s"])))
-        if note.event == "job_finished":
+        if entry.event == "job_finished":
             age_s = float(str(detail["age_s"]))
             self.job_seconds.labels(str(detail["status"])).observe(age_s)
 
-    def summed_up(self, summary: Summary) -> None:
-        """Set the gauges of the cell."""
+    def update_cell_gauges(self, summary: Summary) -> None:
+        """Set the gauges of the cell from a summary of its state."""
         for kind in ("lasting", "filler", "plain"):
             self.tasks.labels(kind, "waiting").set(summary.waiting.get(kind, 0))
             self.tasks.labels(kind, "running").set(summary.running.get(kind, 0))
@@ -158,34 +158,36 @@
         self.workers.labels("evacuated").set(summary.evacuated_workers)
 
     def watch_configuration(self, routing: "Routing") -> None:
-        """Read off how old the configuration is whenever the text is asked for."""
+        """Compute the configuration's age and version whenever metrics are read."""
         self.configuration_age_seconds.set_function(routing.operator.age_s)
         self.configuration_version.set_function(
             lambda: routing.configuration.version if routing.configuration else 0
         )
 
     async def watch_loop(self) -> None:
-        """Measure for ever how late timers fire."""
+        """Measure the event loop lag until cancelled."""
         while True:
-            begun_s = time.monotonic()
-            await asyncio.sleep(LAG_EVERY_S)
-            self.loop_lag_s = max(0.0, time.monotonic() - begun_s - LAG_EVERY_S)
+            started_s = time.monotonic()
+            await asyncio.sleep(LOOP_LAG_INTERVAL_S)
+            self.loop_lag_s = max(
+                0.0, time.monotonic() - started_s - LOOP_LAG_INTERVAL_S
+            )
             self.loop_lag_seconds.observe(self.loop_lag_s)
 
 
-# The fields of a log entry that say why, the first that is there.
+# Fields of a log entry that may hold its reason; the first one present is the label.
 REASON_FIELDS = ("why", "reason", "how", "status")
 
 
 def outcome_name(outcome: object) -> str:
-    """Return a label for how a call ended."""
+    """Return the label for the outcome of a call."""
     if isinstance(outcome, Refused):
         return f"refused_{outcome.reason.value}"
     return type(outcome).__name__.lower()
 
 
 class MeteredStore:
-    """A store port that counts its calls."""
+    """A store port that counts and times its calls."""
 
     def __init__(self, store: StorePort, metrics: Metrics) -> None:
         """Wrap a store."""
@@ -200,9 +202,9 @@
         at_offset: int | None,
     ) -> AppendOutcome:
         """Append all records or none; no record at all only raises the epoch."""
-        begun_s = time.monotonic()
+        started_s = time.monotonic()
         outcome = await self._store.append(topic, records, producer, at_offset)
-        took_s = time.monotonic() - begun_s
+        took_s = time.monotonic() - started_s
         self._metrics.store_seconds.labels(topic.value).observe(took_s)
         self._metrics.store_calls.labels("append", outcome_name(outcome)).inc()
         return outcome
@@ -229,23 +231,23 @@
         self._calls = metrics.worker_calls
 
     def close(self) -> None:
-        """Drop the connections."""
+        """Close the connections."""
         self._worker.close()
 
     async def start(self, run: Run, payload: str, deadline_s: float) -> OrderOutcome:
-        """Start an attempt."""
+        """Start a run."""
         outcome = await self._worker.start(run, payload, deadline_s)
         self._calls.labels("start", outcome_name(outcome)).inc()
         return outcome
 
     async def stop(self, run: Run) -> OrderOutcome:
-        """End an attempt."""
+        """Stop a run."""
         outcome = await self._worker.stop(run)
         self._calls.labels("stop", outcome_name(outcome)).inc()
         return outcome
 
     async def pace(self, run: Run, percent: int) -> OrderOutcome:
-        """Let an attempt work at a share of its speed."""
+        """Limit a run to ``percent`` of its speed."""
         outcome = await self._worker.pace(run, percent)
         self._calls.labels("pace", outcome_name(outcome)).inc()
         return outcome
@@ -253,7 +255,7 @@
     async def report(
         self, last_seen: int, deadline_s: float | None, wait_s: float
     ) -> HoldOutcome:
-        """Renew the lease, acknowledge ends, and read what is there."""
+        """Renew the lease, acknowledge ended runs, and read the worker's report."""
         outcome = await self._worker.report(last_seen, deadline_s, wait_s)
         self._calls.labels("report", outcome_name(outcome)).inc()
         return outcome
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/overrides.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/overrides.py
@@ -1,9 +1,9 @@
 """
-Read the thresholds that an operator sets, from a JSON file.
+Read the thresholds that an operator overrides, from a JSON file.
 
     {"cell": {"lease_s": 6.0}, "instance": {"stale_s": 2.0}}
 
-Every name is a field of ``CellSettings`` or ``InstanceSettings``. All errors of a file
+Every name is a field of ``CellSettings`` or ``InstanceSettings``. All errors in a file
 are reported at once.
 """
 
@@ -17,28 +17,35 @@
 
 from .settings import InstanceSettings
 
-# A threshold may be set to between a tenth and ten times its default: beyond that it
-# is a slip of the unit.
+# A threshold may be set to between a tenth and ten times its default: a value beyond
+# that is most likely given in the wrong unit.
 RANGE_FACTOR = 10.0
-# What describes the machine and the process is told by the platform.
-TOLD = {"instance_id", "name", "data_centre", "cores", "peer_address", "cell"}
+# Fields that describe the machine and the process; the platform sets them.
+NOT_OVERRIDABLE = {
+    "instance_id",
+    "name",
+    "data_centre",
+    "cores",
+    "peer_address",
+    "cell",
+}
 
 Settings = TypeVar("Settings", CellSettings, InstanceSettings)
 
 
 class OverrideError(Exception):
-    """The file cannot be used; the message names every error."""
+    """The file cannot be used; the message lists every error."""
 
 
 class Overrides(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Thresholds by name."""
+    """Overridden thresholds by field name."""
 
     cell: dict[str, float] = {}
     instance: dict[str, float] = {}
 
 
 def read_overrides(path: Path) -> Overrides:
-    """Read and check a file."""
+    """Read and validate a file; raises ``OverrideError``."""
     try:
         overrides = msgspec.json.decode(path.read_bytes(), type=Overrides)
     except (OSError, msgspec.MsgspecError) as error:
@@ -53,11 +60,11 @@
 
 
 def thresholds(kind: type) -> dict[str, float]:
-    """Return the defaults of what may be set."""
+    """Return the defaults of the fields that may be overridden."""
     return {
         field.name: field.default
         for field in fields(kind)
-        if field.name not in TOLD and isinstance(field.default, int | float)
+        if field.name not in NOT_OVERRIDABLE and isinstance(field.default, int | float)
     }
 
 
@@ -74,12 +81,12 @@
 
 
 def apply(settings: InstanceSettings, overrides: Overrides) -> InstanceSettings:
-    """Return the settings with what the operator set."""
-    cell = _replaced(settings.cell, overrides.cell)
-    return _replaced(replace(settings, cell=cell), overrides.instance)
+    """Return the settings with the operator's overrides applied."""
+    cell = _with_overrides(settings.cell, overrides.cell)
+    return _with_overrides(replace(settings, cell=cell), overrides.instance)
 
 
-def _replaced(settings: Settings, given: dict[str, float]) -> Settings:
+def _with_overrides(settings: Settings, given: dict[str, float]) -> Settings:
     values: dict[str, Any] = {}
     for name, value in given.items():
         whole = isinstance(getattr(settings, name), int)
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/ports.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/ports.py
@@ -1,8 +1,8 @@
 """
-Define what an instance needs from its surroundings.
+Define the interfaces through which an instance uses external systems.
 
-An adapter implements these protocols. No method raises for what the other end
-does: every way a call can end is a value.
+An adapter implements these protocols. No method raises an error because of the remote
+side: every outcome of a call is returned as a value.
 """
 
 from collections.abc import Sequence
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Keyed:
-    """A record of a compacted log; without a value the key is dropped."""
+    """A record of a compacted log; without a value it deletes the key."""
 
     key: str
     value: bytes | None
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Producer:
-    """Who appends: the log takes each sequence number of an epoch once."""
+    """A writer's identity: the log accepts each sequence number of an epoch once."""
 
     name: str
     epoch: int
@@ -46,19 +46,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Appended:
-    """The records are stored for good, up to ``end_offset``."""
+    """The records are stored durably; the log then ends at ``end_offset``."""
 
     end_offset: int
 
 
 @dataclass(frozen=True, slots=True)
 class Conflict:
-    """The log does not end where it was expected to; nothing was stored."""
+    """The log does not end at the expected offset; nothing was stored."""
 
 
 @dataclass(frozen=True, slots=True)
 class Superseded:
-    """A higher epoch has written; nothing was stored."""
+    """A writer with a higher epoch has appended; nothing was stored."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -78,10 +78,10 @@
 @dataclass(frozen=True, slots=True)
 class Span:
     """
-    What a read of a log asks for.
+    The parameters of a read of a log.
 
-    It waits up to ``wait_s`` for a record at ``offset``, and returns records of about
-    ``size_max_bytes`` in all.
+    The read waits up to ``wait_s`` for a record at ``offset``, and returns records of
+    about ``size_max_bytes`` in total.
     """
 
     offset: int
@@ -97,10 +97,10 @@
 @dataclass(frozen=True, slots=True)
 class Batch:
     """
-    Records from an offset on, and where the log ends.
+    Records from an offset on, and the offset at which the log ends.
 
-    ``waited_s`` is how long the store certainly waited for a record before it answered
-    that there is none.
+    ``waited_s`` is a lower bound of how long the store waited for a record before it
+    answered that there is none.
     """
 
     records: Sequence[Keyed]
@@ -111,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Expired:
-    """The records asked for are gone; the newest of each key remain."""
+    """The requested offset was compacted away; the newest of each key remain."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -149,38 +149,38 @@
     """One incarnation of a worker, under one fencing token."""
 
     async def start(self, run: Run, payload: str, deadline_s: float) -> OrderOutcome:
-        """Start an attempt; ``deadline_s`` is on the worker's clock."""
+        """Start a run; ``deadline_s`` of the lease is on the worker's clock."""
 
     async def stop(self, run: Run) -> OrderOutcome:
-        """End an attempt."""
+        """Stop a run."""
 
     async def pace(self, run: Run, percent: int) -> OrderOutcome:
-        """Let an attempt work at a share of its speed."""
+        """Limit a run to ``percent`` of its speed."""
 
     async def report(
         self, last_seen: int, deadline_s: float | None, wait_s: float
     ) -> HoldOutcome:
-        """Renew the lease, acknowledge ends, and read what is there."""
+        """Renew the lease, acknowledge ended runs, and read the worker's report."""
 
     def close(self) -> None:
-        """Drop the connections."""
+        """Close the connections."""
 
 
 class AdvicePort(Protocol):
-    """The service that says which workers may run a step."""
+    """The service that advises which workers may run a step."""
 
     async def ask(self, step: StepKey, worker_ids: Sequence[str]) -> Allowance | None:
-        """Return who may run it; ``valid_until_s`` counts from the answer."""
+        """Return the allowed workers; ``valid_until_s`` counts from the answer."""
 
 
 class Clock(Protocol):
     """The two clocks of this instance."""
 
     def now_s(self) -> float:
-        """Return steady seconds that also count while the machine is suspended."""
+        """Return monotonic seconds that also count while the machine is suspended."""
 
     def wall_s(self) -> float:
-        """Return Unix seconds; may jump."""
+        """Return Unix time in seconds; may jump."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -194,7 +194,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on callers' connections, as the operator sets them."""
+    """Limits on callers' connections, set by the operator."""
 
     header_bytes: int
     body_bytes: int
@@ -207,7 +207,7 @@
     """
     The operator's newest configuration.
 
-    ``services`` are the names of all services, empty if it does not say.
+    ``services`` are the names of all services, empty if it does not list them.
     """
 
     version: int
@@ -224,9 +224,9 @@
 @dataclass(frozen=True, slots=True)
 class Evacuation:
     """
-    What the operator wants of a data centre.
+    The operator's order to evacuate a data centre, or its end.
 
-    While it is ``active`` nothing more may start there.
+    While it is ``active`` no task may start there.
     """
 
     data_centre: str
@@ -239,17 +239,17 @@
     def configuration(
         self, record: Keyed
     ) -> Configuration | UnreadableConfiguration | None:
-        """Return the configuration, readable or not; nothing for another record."""
+        """Return the configuration, readable or not; ``None`` for other records."""
 
     def evacuation(self, record: Keyed) -> Evacuation | None:
-        """Return an evacuation that begins or ends, or nothing if it is another."""
+        """Return an evacuation that begins or ends; ``None`` for other records."""
 
     def worker(self, record: Keyed) -> WorkerListing | None:
-        """Return the listing, or nothing if the worker has left."""
+        """Return the listing, or ``None`` if the worker has left."""
 
 
 class WorkerFactory(Protocol):
-    """Make the port to one worker."""
+    """Create the port to one worker."""
 
     def __call__(self, listing: WorkerListing, token: int) -> WorkerPort:
-        """Return a port that speaks under a fencing token."""
+        """Return a port whose calls carry the fencing token."""
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/progress_log.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/progress_log.py
@@ -1,9 +1,9 @@
 """
 Append to the log of progress as the holder, under one epoch.
 
-Every append that is stored is also the holder's sign of life. One that was not
-answered is sent again under the same number; one that is refused for a higher
-epoch ends this holder's time.
+Every stored append also serves as the holder's heartbeat. An append without an answer
+is sent again under the same sequence number; one that is rejected because of a higher
+epoch ends the holder's term.
 """
 
 import asyncio
@@ -31,16 +31,17 @@
 
 log = structlog.get_logger()
 
-# The name under which every holder appends; the epoch tells them apart.
+# The producer name of every holder; holders differ by epoch.
 PRODUCER_NAME = "holder"
-# Between tries of an append that the store refused: short at first, for the
-# holder has 1.5 s, then longer, for every call counts against a common limit.
-RETRY_S = 0.05
+# Pause between attempts of a failed append; it doubles up to the maximum. It is short
+# at first, since the holder has 1.5 s to store a record, and longer later, since every
+# call counts against the store's shared rate limit.
+RETRY_BASE_S = 0.05
 RETRY_MAX_S = 0.3
 
 
 class ProgressLog:
-    """The holder's end of the log of progress."""
+    """The holder's writer of the log of progress."""
 
     def __init__(
         self,
@@ -50,52 +51,54 @@
         ledger: Ledger,
         epoch: int,
         fenced_at_s: float,
-        lose: Callable[[str], None],
+        step_down: Callable[[str], None],
     ) -> None:
-        """Begin after the fence; ``lose`` is told when the epoch is over."""
+        """Begin after the fence; ``step_down`` is called when the epoch is over."""
         self.settings = settings
         self.clock = clock
         self.store = store
         self.ledger = ledger
         self.epoch = epoch
         self.stored_at_s = fenced_at_s
-        self.over = False
-        self._lose = lose
+        self.stopped = False
+        self._step_down = step_down
         self._sequence = 0
         self._failed_tries = 0
 
     def stop(self) -> None:
-        """Try no more."""
-        self.over = True
+        """Make no further attempts."""
+        self.stopped = True
 
     async def append(self, records: list[Keyed]) -> bool:
-        """Append until it is done; false if the cell is lost."""
-        while not self.over:
+        """Append, retrying until stored; return false if the cell is lost."""
+        while not self.stopped:
             sent_at_s = self.clock.now_s()
             producer = Producer(PRODUCER_NAME, self.epoch, self._sequence)
             outcome = await self.store.append(Topic.PROGRESS, records, producer, None)
             match outcome:
                 case Appended():
-                    self._stored(records, sent_at_s)
+                    self._mark_stored(records, sent_at_s)
                     return True
                 case OutOfSequence(expected) if expected == self._sequence + 1:
-                    # This very number was taken: an unanswered try was done.
-                    self._stored(records, sent_at_s)
+                    # The log has this sequence number: an unanswered try was stored.
+                    self._mark_stored(records, sent_at_s)
                     return True
                 case Superseded():
-                    self._lose("the log has taken a higher epoch")
+                    self._step_down("the log has taken a higher epoch")
                 case Unavailable() | NoAnswer():
-                    self._note_failed(outcome, sent_at_s)
+                    self._mark_failed(outcome, sent_at_s)
                     await asyncio.sleep(self._retry_s())
                 case _:
-                    log.error("holder: unexpected", outcome=repr(outcome))
-                    self._lose("the log gave an unexpected answer")
+                    log.error(
+                        "holder: unexpected append outcome", outcome=repr(outcome)
+                    )
+                    self._step_down("the log gave an unexpected answer")
         return False
 
     def _retry_s(self) -> float:
-        return min(RETRY_MAX_S, RETRY_S * 2 ** (self._failed_tries - 1))
+        return min(RETRY_MAX_S, RETRY_BASE_S * 2 ** (self._failed_tries - 1))
 
-    def _note_failed(self, outcome: Unavailable | NoAnswer, sent_at_s: float) -> None:
+    def _mark_failed(self, outcome: Unavailable | NoAnswer, sent_at_s: float) -> None:
         if self._failed_tries == 0:
             age_s = round(sent_at_s - self.stored_at_s, 3)
             log.warning(
@@ -103,7 +106,7 @@
             )
         self._failed_tries += 1
 
-    def _stored(self, records: list[Keyed], sent_at_s: float) -> None:
+    def _mark_stored(self, records: list[Keyed], sent_at_s: float) -> None:
         if self._failed_tries:
             log.info(
                 "holder: stores again",
@@ -116,4 +119,4 @@
         self.stored_at_s = sent_at_s
         for record in records:
             if record.key != HOLDER_KEY:
-                self.ledger.take_progress(record, sent_at_s)
+                self.ledger.apply_progress(record, sent_at_s)
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/relay.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/relay.py
@@ -1,13 +1,14 @@
 """
-Reach the store through a peer while it turns this instance away.
+Reach the store through a peer while it refuses or ignores this instance.
 
 The store may refuse or ignore single instances and serve all others. What such an
-instance would tell its callers, and whether it may go on holding the cell, depends on
-the store; a peer that is served passes its calls on. A call is passed on once, never
-further: a peer that is turned away itself says so at once.
+instance can tell its callers, and whether it may go on holding the cell, depends on
+the store, so a peer that can reach the store forwards its calls. A call is forwarded
+only once: a peer that itself cannot reach the store refuses it immediately.
 
-An append that may have been done is only repeated with its producer's number, which
-the log takes once. A claim has none: it is passed on only if it was refused.
+An append that may already have been stored is repeated only with its producer and
+sequence number, which the log accepts once. A claim has no producer, so it is
+forwarded only after the store refused it.
 """
 
 import asyncio
@@ -21,7 +22,7 @@
 from hornbeampaddle.cell.reports import NoAnswer
 from hornbeampaddle.machines import Address
 
-from .peers import PeerBook
+from .peers import PeerDirectory
 from .ports import (
     Appended,
     AppendOutcome,
@@ -44,35 +45,36 @@
 
 log = structlog.get_logger()
 
-# The store itself is tried again this often while peers are used: it is back within
-# this time after it serves us again, and each try in vain is one call.
-DIRECT_EVERY_S = 1.0
-# What it is tried with: a read that any answer settles.
-TRY = Span(0, 0.0, 1024)
-# If no peer was served either, the store is down for all, and peers are left alone for
-# so long: three instances of four would ask in vain, and each call that waits for a
-# silent peer would find the store's return that much later.
-PEERS_REST_S = 1.0
-# Peers that are tried for one call: with a third of them turned away, one in 27 calls
-# meets three such.
-PEERS_TRIED = 3
-# A peer answers after one call to the store, 4 to 20 ms. One that takes longer than
-# this is most likely without the store itself.
-PEER_MARGIN_S = 0.3
-# A read through a peer waits no longer for a record than this: a peer that has just
-# lost the store would hold it for the whole of a long read.
-PEER_READ_WAIT_S = 0.2
-# A read through a peer asks for no more than passes the narrowest links, of 5 Mbit/s,
-# within its time.
-PEER_READ_BYTES = 128 * 1024
-
-# The newest configuration, with 1,700 routes, is 0.45 MB as it travels: 0.7 s on the
-# narrowest link, of 5 Mbit/s. With less, an instance there never gets it from a peer.
-PEER_NEWEST_S = 1.0
+# How often the store is probed directly while peers are used: direct calls resume
+# within this time after it serves this instance again. A failed probe costs one call.
+STORE_PROBE_INTERVAL_S = 1.0
+# The probe: a short read of the log of peers; any answer but a refusal counts.
+STORE_PROBE = Span(0, 0.0, 1024)
+# How long no peer is called after none of them could reach the store, which is then
+# down for all: three of four instances would call in vain, and each call that waits for
+# a silent peer delays the detection of the store's return.
+PEERS_BACKOFF_S = 1.0
+# Number of peers tried for one call: if a third of them cannot reach the store, one
+# call in 27 meets three of those.
+PEERS_PER_CALL_MAX = 3
+# A peer answers after one call to the store, which takes 4 to 20 ms. A peer that takes
+# longer than this most likely cannot reach the store either.
+PEER_TIMEOUT_S = 0.3
+# Longest wait for a record in a read through a peer: a peer that has just lost the
+# store would hold the call for the whole of a longer wait.
+PEER_READ_WAIT_MAX_S = 0.2
+# Largest read through a peer: fits through the slowest links, of 5 Mbit/s, within the
+# timeout of the call.
+PEER_READ_MAX_BYTES = 128 * 1024
+
+# Timeout of a read of the newest records through a peer. A configuration with 1,700
+# routes is 0.45 MB on the wire, which takes 0.7 s on the slowest links, of 5 Mbit/s;
+# with a shorter timeout an instance there would never get it from a peer.
+PEER_NEWEST_TIMEOUT_S = 1.0
 
 
 class AppendAsk(msgspec.Struct, tag="append", frozen=True):
-    """An append that a peer is to make."""
+    """A request to a peer to append records."""
 
     topic: str
     records: list[tuple[str, bytes | None]]
@@ -81,7 +83,7 @@
 
 
 class ReadAsk(msgspec.Struct, tag="read", frozen=True):
-    """A read that a peer is to make."""
+    """A request to a peer to read from an offset."""
 
     topic: str
     offset: int
@@ -90,7 +92,7 @@
 
 
 class NewestAsk(msgspec.Struct, tag="newest", frozen=True):
-    """A read of the newest records that a peer is to make."""
+    """A request to a peer to read the newest record of each key."""
 
     topic: str
 
@@ -98,7 +100,7 @@
 Ask = AppendAsk | ReadAsk | NewestAsk
 Outcome = AppendOutcome | ReadOutcome | NewestOutcome
 
-# What a peer answers: the name of the outcome's type and its fields.
+# Outcome types by the name under which a peer's answer carries them.
 OUTCOMES: dict[str, type] = {
     kind.__name__: kind
     for kind in (
@@ -119,42 +121,46 @@
 
 
 class PeerCaller(Protocol):
-    """Send a request to a peer's process."""
+    """The client for requests to other instances."""
 
     async def call(self, address: Address, data: bytes, timeout_s: float) -> bytes:
-        """Return the answer; empty if none came in time."""
+        """Send a request; return the answer, empty if none came within the timeout."""
 
 
 def encode_outcome(outcome: Outcome) -> bytes:
-    """Return what goes back to the peer that asked."""
+    """Encode an outcome as the answer to a peer."""
     fields = msgspec.to_builtins(outcome, builtin_types=(bytes,))
     return _encode((type(outcome).__name__, fields))
 
 
 def decode_outcome(data: bytes) -> Outcome:
-    """Return what a peer answered; raises ``msgspec.MsgspecError``, ``KeyError``."""
+    """Decode a peer's answer; raises ``msgspec.MsgspecError`` or ``KeyError``."""
     name, fields = _answer_decoder.decode(data)
     outcome: Outcome = msgspec.convert(fields, OUTCOMES[name], builtin_types=(bytes,))
     return outcome
 
 
 class Relay:
-    """A store port that falls back on peers, and serves them in turn."""
+    """A store port that falls back to peers, and serves their requests in turn."""
 
     def __init__(
-        self, direct: StorePort, book: PeerBook, peers: PeerCaller, clock: Clock
+        self,
+        direct: StorePort,
+        peer_directory: PeerDirectory,
+        peers: PeerCaller,
+        clock: Clock,
     ) -> None:
-        """Use ``direct`` as long as it serves."""
+        """Use ``direct`` as long as it serves this instance."""
         self.direct = direct
-        self.book = book
+        self.peer_directory = peer_directory
         self.peers = peers
         self.clock = clock
-        self._peers_at_s = float("-inf")
+        self._next_peer_call_s = float("-inf")
         self._away_since_s: float | None = None
 
     @property
     def away(self) -> bool:
-        """Tell whether the store serves this instance only through its peers."""
+        """Whether the store currently refuses or ignores this instance."""
         return self._away_since_s is not None
 
     async def append(
@@ -172,25 +178,25 @@
         outcome = await self._call(
             lambda: self.direct.append(topic, records, producer, at_offset),
             AppendAsk(topic.value, rows, number, at_offset),
-            PEER_MARGIN_S,
-            repeatable=producer is not None,
+            PEER_TIMEOUT_S,
+            idempotent=producer is not None,
         )
         assert not isinstance(outcome, Batch | Expired | Newest)
         return outcome
 
     async def read(self, topic: Topic, span: Span) -> ReadOutcome:
         """Read from an offset; wait for a record if there is none."""
-        wait_s = min(span.wait_s, PEER_READ_WAIT_S)
+        wait_s = min(span.wait_s, PEER_READ_WAIT_MAX_S)
         direct_span = span
         if self.away:
-            # A long read that stays unanswered costs its whole wait before a peer is
-            # asked; while the store is out of reach, that makes every view 2 s old.
+            # An unanswered long read uses up its whole wait before a peer is called;
+            # while the store is out of reach, that would make every view 2 s old.
             direct_span = replace(span, wait_s=0.0)
-        size_max_bytes = min(span.size_max_bytes, PEER_READ_BYTES)
+        size_max_bytes = min(span.size_max_bytes, PEER_READ_MAX_BYTES)
         outcome = await self._call(
             lambda: self.direct.read(topic, direct_span),
             ReadAsk(topic.value, span.offset, wait_s, size_max_bytes),
-            PEER_READ_WAIT_S + PEER_MARGIN_S,
+            PEER_READ_WAIT_MAX_S + PEER_TIMEOUT_S,
         )
         assert isinstance(outcome, ReadOutcome)
         return outcome
@@ -200,7 +206,7 @@
         outcome = await self._call(
             lambda: self.direct.newest(topic),
             NewestAsk(topic.value),
-            PEER_NEWEST_S,
+            PEER_NEWEST_TIMEOUT_S,
         )
         assert isinstance(outcome, NewestOutcome)
         return outcome
@@ -210,72 +216,77 @@
         direct: Callable[[], Awaitable[Outcome]],
         ask: Ask,
         timeout_s: float,
-        repeatable: bool = True,
+        idempotent: bool = True,
     ) -> Outcome:
         outcome: Outcome = Unavailable("turned away a moment ago")
-        if not self.away or self.clock.now_s() < self._peers_at_s:
-            # While peers are left alone as well, only the store itself can help.
+        if not self.away or self.clock.now_s() < self._next_peer_call_s:
+            # While peers are not called either, the store is the only option.
             outcome = await direct()
             if not isinstance(outcome, Unavailable | NoAnswer):
-                self._served()
+                self._mark_store_reachable()
                 return outcome
-            self._turned_away()
-        if isinstance(outcome, NoAnswer) and not repeatable:
+            self._mark_store_unreachable()
+        if isinstance(outcome, NoAnswer) and not idempotent:
             return outcome
-        relayed = await self._relayed(ask, timeout_s)
+        relayed = await self._call_peers(ask, timeout_s)
         if relayed is None:
             return outcome
         if isinstance(outcome, NoAnswer) and isinstance(relayed, Unavailable):
-            # Guards against a job that runs though its caller was told that it never
-            # will: the store may have done what it did not answer, whatever the peers
-            # say of their own tries.
+            # The store may have executed the unanswered call even if every peer was
+            # refused. Returning the refusal would tell a caller that its job never
+            # runs when it may.
             return outcome
         return relayed
 
     async def run(self) -> None:
         """
-        Look for ever whether the store serves this instance again.
+        Probe until cancelled whether the store serves this instance again.
 
-        Guards against views that get old, and a holder that lapses, while the store is
-        silent to it: a call that tried the store itself would wait a second in vain.
+        Calls themselves do not try the store while it is silent: each would wait a
+        second for nothing, so that views became old and a holder lost the cell.
         """
         while True:
-            await asyncio.sleep(DIRECT_EVERY_S)
+            await asyncio.sleep(STORE_PROBE_INTERVAL_S)
             if not self.away:
                 continue
-            outcome = await self.direct.read(Topic.PEERS, TRY)
+            outcome = await self.direct.read(Topic.PEERS, STORE_PROBE)
             if not isinstance(outcome, Unavailable | NoAnswer):
-                self._served()
+                self._mark_store_reachable()
 
-    def _served(self) -> None:
+    def _mark_store_reachable(self) -> None:
         if self._away_since_s is not None:
             gone_s = round(self.clock.now_s() - self._away_since_s, 3)
             log.info("relay: store serves us again", gone_s=gone_s)
             self._away_since_s = None
 
-    def _turned_away(self) -> None:
+    def _mark_store_unreachable(self) -> None:
         if self._away_since_s is None:
             self._away_since_s = self.clock.now_s()
-            log.warning("relay: store turns us away", peers=len(self.book.shuffled()))
+            log.warning(
+                "relay: store turns us away", peers=len(self.peer_directory.shuffled())
+            )
 
-    async def _relayed(self, ask: Ask, timeout_s: float) -> Outcome | None:
-        """Ask a few peers; nothing if none of them was served."""
-        if self.clock.now_s() < self._peers_at_s:
+    async def _call_peers(self, ask: Ask, timeout_s: float) -> Outcome | None:
+        """Forward a call to a few peers; return the last outcome, if any was called."""
+        if self.clock.now_s() < self._next_peer_call_s:
             return None
         data = _encode(ask)
         outcome: Outcome | None = None
-        for address in self.book.shuffled()[:PEERS_TRIED]:
-            outcome = await self._ask(address, data, timeout_s)
+        for address in self.peer_directory.shuffled()[:PEERS_PER_CALL_MAX]:
+            outcome = await self._call_peer(address, data, timeout_s)
             if not isinstance(outcome, Unavailable | NoAnswer):
                 return outcome
             if isinstance(outcome, NoAnswer):
-                # An append may be on its way: whoever asked repeats it by its number.
-                # For a read, another silent peer would only cost as much again.
+                # An append may still be stored: the caller repeats it under its
+                # sequence number. For a read, another silent peer would only cost
+                # another timeout.
                 break
-        self._peers_at_s = self.clock.now_s() + PEERS_REST_S
+        self._next_peer_call_s = self.clock.now_s() + PEERS_BACKOFF_S
         return outcome
 
-    async def _ask(self, address: Address, data: bytes, timeout_s: float) -> Outcome:
+    async def _call_peer(
+        self, address: Address, data: bytes, timeout_s: float
+    ) -> Outcome:
         answer = await self.peers.call(address, data, timeout_s)
         if not answer:
             return NoAnswer(f"peer {address} timed out")
@@ -283,27 +294,29 @@
             return decode_outcome(answer)
         except (msgspec.MsgspecError, KeyError) as error:
             log.error(
-                "relay: answer not understood", peer=str(address), error=str(error)
+                "relay: cannot decode answer of peer",
+                peer=str(address),
+                error=str(error),
             )
             return NoAnswer(f"peer {address} answered {error}")
 
-    # For peers
+    # Called for peers
 
     async def serve(self, data: bytes) -> bytes:
-        """Answer a peer's request."""
+        """Execute a peer's encoded request and return the encoded outcome."""
         try:
             ask = _ask_decoder.decode(data)
         except msgspec.MsgspecError as error:
-            log.error("relay: request not understood", error=str(error))
+            log.error("relay: cannot decode request of peer", error=str(error))
             return encode_outcome(Unavailable("request not understood"))
         if self.away:
             return encode_outcome(Unavailable("this peer is turned away too"))
-        outcome = await self._for_peer(ask)
+        outcome = await self._execute_for_peer(ask)
         if isinstance(outcome, Unavailable | NoAnswer):
-            self._turned_away()
+            self._mark_store_unreachable()
         return encode_outcome(outcome)
 
-    async def _for_peer(self, ask: Ask) -> Outcome:
+    async def _execute_for_peer(self, ask: Ask) -> Outcome:
         topic = Topic(ask.topic)
         match ask:
             case AppendAsk(records=rows, producer=number, at_offset=at_offset):
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/routing.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/routing.py
@@ -1,32 +1,34 @@
 """
-Find the queue that a request names, or say what keeps this instance from knowing.
+Find the queue of a request by its host and path.
 
-"No such queue" is final for a caller, so it is only said by a configuration that is
-known to be recent. With an older one the request is refused, to be repeated elsewhere.
+"No such queue" is final for a caller, so it is only answered from a configuration that
+is known to be recent. With an older one the request is refused, to be repeated at
+another instance.
 """
 
 from dataclasses import dataclass
 
 import structlog
 
-from .callers import FRESH_READ_S, NotAccepted
+from .callers import FRESH_READ_TIMEOUT_S, NotAccepted
 from .follower import Follower
 from .ports import Configuration, QueueRoute
 from .settings import InstanceSettings
 
 log = structlog.get_logger()
 
-# Another instance most likely knows; a second is what the balancer needs to look away.
-RETRY_CONFIGURATION_S = 1
+# Another instance most likely has a recent configuration; the load balancer needs a
+# second to stop sending requests to this one.
+CONFIGURATION_RETRY_AFTER_S = 1
 
 
 @dataclass(frozen=True, slots=True)
 class Routed:
     """
-    The queue that a request names, and the rest of its path: a job id, if there is one.
+    The queue of a request, and the rest of its path: a job id, if there is one.
 
-    Unless the configuration is ``recent``, the queue may have been closed in time, and
-    the rest of the path may name a queue that was added.
+    Unless the configuration is ``recent``, the queue may have been closed meanwhile, or
+    a queue may have been added whose prefix includes the rest of the path.
     """
 
     route: QueueRoute
@@ -36,14 +38,14 @@
 
 @dataclass(frozen=True, slots=True)
 class NoSuchQueue:
-    """No queue is reached there, by a recent configuration."""
+    """A recent configuration has no queue at the host and path."""
 
 
-Found = Routed | NoSuchQueue | NotAccepted
+RouteResult = Routed | NoSuchQueue | NotAccepted
 
 
 def route_of(configuration: Configuration, host: str, path: str) -> QueueRoute | None:
-    """Find the longest prefix among the routes of a host."""
+    """Return the host's route with the longest prefix of ``path``, if any."""
     best: QueueRoute | None = None
     for route in configuration.routes:
         if route.host != host or not path.startswith(route.path_prefix):
@@ -54,7 +56,7 @@
 
 
 class Routing:
-    """The operator's configuration as this instance knows it, and how recent it is."""
+    """The operator's configuration as read by this instance, and its age."""
 
     def __init__(self, settings: InstanceSettings, operator: Follower) -> None:
         """Start without a configuration; ``operator`` follows the operator's log."""
@@ -65,8 +67,8 @@
         # in force, but does not show which queues have since been added or removed.
         self.configuration_unreadable = False
 
-    def take(self, configuration: Configuration) -> bool:
-        """Take in a configuration; tell whether it is newer than the one in force."""
+    def apply(self, configuration: Configuration) -> bool:
+        """Apply a configuration if newer; return whether it came into force."""
         self.configuration_unreadable = False
         current = self.configuration
         if current is not None and configuration.version <= current.version:
@@ -75,31 +77,31 @@
         return True
 
     def recent(self) -> bool:
-        """Tell whether a missing queue is certain not to have been added in time."""
+        """Return whether the view is recent enough to rule out an added queue."""
         return self.operator.age_s() < self.settings.configuration_recent_s
 
-    async def find(self, host: str, path: str) -> Found:
-        """Return the queue of a request; waits briefly if a fresh read may help."""
+    async def find(self, host: str, path: str) -> RouteResult:
+        """Return the queue of a request; waits briefly for a read if outdated."""
         if self.configuration is None:
-            return NotAccepted("no_configuration", RETRY_CONFIGURATION_S)
+            return NotAccepted("no_configuration", CONFIGURATION_RETRY_AFTER_S)
         if not self.recent() and not self.operator.lost:
-            # The process was suspended, and its first read since is under way.
-            await self.operator.catch_up(FRESH_READ_S)
+            # The process was suspended, and its first read after that is under way.
+            await self.operator.catch_up(FRESH_READ_TIMEOUT_S)
         recent = self.recent() and not self.configuration_unreadable
         route = route_of(self.configuration, host, path)
         if route is not None:
             return Routed(route, path[len(route.path_prefix) :], recent)
         if recent:
-            return self._unknown(self.configuration, host, path)
-        return self.too_old(host, path)
+            return self._no_such_queue(self.configuration, host, path)
+        return self.refuse_too_old(host, path)
 
-    def too_old(self, host: str, path: str) -> NotAccepted:
+    def refuse_too_old(self, host: str, path: str) -> NotAccepted:
         """
-        Refuse what only a recent configuration can answer.
+        Refuse a request that only a recent configuration can answer.
 
-        Guards against final answers from a configuration that was replaced while this
-        instance was suspended or out of the store's reach: callers of a queue added
-        long ago were told that there is none until it had caught up.
+        The configuration may have been replaced while this instance was suspended or
+        could not reach the store. A final answer from it would tell callers of a queue
+        added long ago that there is no such queue.
         """
         configuration = self.configuration
         log.warning(
@@ -113,9 +115,9 @@
         reason = "configuration_too_old"
         if self.configuration_unreadable:
             reason = "configuration_unreadable"
-        return NotAccepted(reason, RETRY_CONFIGURATION_S)
+        return NotAccepted(reason, CONFIGURATION_RETRY_AFTER_S)
 
-    def _unknown(
+    def _no_such_queue(
         self, configuration: Configuration, host: str, path: str
     ) -> NoSuchQueue:
         log.info(
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/session.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/session.py
@@ -1,8 +1,8 @@
 """
-Speak to one worker on behalf of the holder.
+Communicate with one worker on behalf of the holder.
 
-One task renews the lease and reads what ended, over and over; each order is a
-task of its own. Nothing is sent once the holder may have been replaced.
+One asyncio task renews the lease and reads ended runs in a loop; each order is sent by
+a task of its own. No order is sent once the holder may have been replaced.
 """
 
 import asyncio
@@ -29,24 +29,26 @@
 
 log = structlog.get_logger()
 
-# Between reports of a worker that does not answer: leases last 10 s, so a
-# pause of this length costs little and a worker that is back is seen soon.
-SILENT_PAUSE_S = 0.3
-# The first report is not to wait for an end, it is needed for the takeover.
-FIRST_WAIT_S = 0.0
-# Between looks at a lease that may not be extended: about one append to the store.
-LAPSE_PAUSE_S = 0.02
-# A stop that settled nothing is sent again after a pause that doubles: at first one in
-# 0.8 s, with the time that an answer may take, then one in 1.6 s.
-STOP_PAUSE_S = 0.2
-STOP_PAUSE_MAX_S = 1.0
+# Pause before a call that failed or may not be sent yet is tried again. Leases last
+# 10 s, so the pause costs little of one, and a worker that answers again is seen soon.
+RETRY_PAUSE_S = 0.3
+# How long the worker holds back its first report until a run ends: not at all, for
+# the takeover needs the report.
+FIRST_REPORT_WAIT_S = 0.0
+# How often a start checks whether the worker's lease, which must not be extended for
+# now, may be renewed: about the duration of one append to the store.
+LEASE_CHECK_INTERVAL_S = 0.02
+# Pause before an unsettled stop is sent again; it doubles up to the maximum. Including
+# the timeout of an answer, stops go out 0.8 s apart at first and 1.6 s apart later.
+STOP_RETRY_BASE_S = 0.2
+STOP_RETRY_MAX_S = 1.0
 
 
 class Session:
-    """The holder's conversation with one incarnation of a worker."""
+    """The holder's exchange of reports and orders with one worker incarnation."""
 
     def __init__(self, holder: "Holder", worker_id: str, port: WorkerPort) -> None:
-        """Keep the port; nothing is sent before ``run``."""
+        """Store the port; nothing is sent before ``run``."""
         self.holder = holder
         self.worker_id = worker_id
         self.port = port
@@ -55,16 +57,16 @@
         self._report_due = asyncio.Event()
         # The last end whose acknowledgement the worker has received.
         self._delivered_acked_end = 0
-        self._silent_since_s: float | None = None
-        self._stopping: set[tuple[TaskKey, int]] = set()
+        self._unanswered_since_s: float | None = None
+        self._stops_in_progress: set[tuple[TaskKey, int]] = set()
 
     async def run(self) -> None:
-        """Report after report, until the worker is gone or the holder ends."""
+        """Request reports until the worker is removed or the task is cancelled."""
         cell = self.holder.cell
-        wait_s = FIRST_WAIT_S
+        wait_s = FIRST_REPORT_WAIT_S
         while self.worker_id in cell.workers:
-            if not self.holder.may_renew():
-                await asyncio.sleep(SILENT_PAUSE_S)
+            if not self.holder.may_renew_leases():
+                await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             worker = cell.workers[self.worker_id]
             now_s = self.holder.clock.now_s()
@@ -77,35 +79,34 @@
                 outcome = await self.port.report(acked_end, deadline_s, wait_s)
             if isinstance(outcome, Report):
                 self._delivered_acked_end = acked_end
-            if not await self._take(outcome):
-                await self._pause_before_report(SILENT_PAUSE_S)
+            if not await self._handle_outcome(outcome):
+                await self._pause_before_report(RETRY_PAUSE_S)
                 continue
-            wait_s = FIRST_WAIT_S if first else self._wait_s()
+            wait_s = FIRST_REPORT_WAIT_S if first else self._report_wait_s()
             await self._pause_before_report(0.0)
 
     async def _first_report(self, last_seen: int) -> HoldOutcome:
         """
         Request a report that carries the worker's clock, once a slot is free.
 
-        Guards against a new holder losing the cell: connecting to thousands of workers
-        at once would block its writes to the store for seconds.
+        Without the limit a new holder would connect to thousands of workers at once,
+        which blocks its appends to the store for seconds and makes it lose the cell.
         """
         async with self.holder.first_report_slots:
-            return await self.port.report(last_seen, None, FIRST_WAIT_S)
+            return await self.port.report(last_seen, None, FIRST_REPORT_WAIT_S)
 
     async def _pause_before_report(self, min_pause_s: float) -> None:
         """
         Wait before the next report, longer while the worker is idle.
 
-        Guards against saturating the holder's CPU: reading the reports of thousands of
-        idle workers would take a whole core, and the list of workers would be too old
-        to start tasks by.
+        Continuous reports of thousands of idle workers would take a whole core, and
+        the holder's list of workers would become too old to start tasks.
         """
         cell = self.holder.cell
         worker = cell.workers.get(self.worker_id)
         pause_s = min_pause_s
-        # Guards against leaving an end unacknowledged during the idle pause: if the
-        # worker goes down meanwhile, the end counts as if it had never happened.
+        # No idle pause while an end is unacknowledged: if the worker went down during
+        # the pause, the end would count as if it had never happened.
         if (
             worker is not None
             and worker.idle()
@@ -121,34 +122,34 @@
         except TimeoutError:
             pass
 
-    def _wait_s(self) -> float:
+    def _report_wait_s(self) -> float:
         settings = self.holder.cell.settings
         worker = self.holder.cell.workers.get(self.worker_id)
         if worker is not None and worker.over_since_s is not None:
             return settings.report_wait_over_s
         return settings.report_wait_s
 
-    async def _take(self, outcome: object) -> bool:
+    async def _handle_outcome(self, outcome: object) -> bool:
         match outcome:
             case Report() as report:
-                self._heard()
-                self.holder.take_report(self.worker_id, report)
-                await self._acknowledged()
+                self._mark_answered()
+                self.holder.handle_report(self.worker_id, report)
+                await self._wait_for_acknowledgement()
                 return True
             case OtherIncarnation():
                 now_s = self.holder.clock.now_s()
                 self.holder.cell.worker_ended(self.worker_id, now_s, "replaced")
                 self.holder.wake()
             case Refused(Reason.FENCED):
-                self.holder.lose("a worker has seen a higher token")
+                self.holder.step_down("a worker has seen a higher token")
             case Refused(reason):
-                self._silent(reason.value)
+                self._mark_unanswered(reason.value)
             case NoAnswer(detail):
-                self._silent(detail)
+                self._mark_unanswered(detail)
         return False
 
-    async def _acknowledged(self) -> None:
-        """Wait until the ends of the last report are stored, or for a while."""
+    async def _wait_for_acknowledgement(self) -> None:
+        """Wait until the ends of the last report are stored, for 1 s at most."""
         worker = self.holder.cell.workers.get(self.worker_id)
         if worker is None or worker.acked_end >= worker.seen_end:
             return
@@ -159,52 +160,52 @@
         except TimeoutError:
             pass
 
-    def _heard(self) -> None:
-        if self._silent_since_s is None:
+    def _mark_answered(self) -> None:
+        if self._unanswered_since_s is None:
             return
-        gone_s = round(self.holder.clock.now_s() - self._silent_since_s, 3)
+        gone_s = round(self.holder.clock.now_s() - self._unanswered_since_s, 3)
         log.info("worker: regained", worker=self.worker_id, gone_s=gone_s)
-        self._silent_since_s = None
+        self._unanswered_since_s = None
 
-    def _silent(self, detail: str) -> None:
+    def _mark_unanswered(self, detail: str) -> None:
         now_s = self.holder.clock.now_s()
         self.holder.cell.worker_silent(self.worker_id, now_s)
-        if self._silent_since_s is None:
-            self._silent_since_s = now_s
+        if self._unanswered_since_s is None:
+            self._unanswered_since_s = now_s
             log.warning("worker: lost", worker=self.worker_id, detail=detail)
 
     async def start(self, run: Run, payload: str) -> None:
-        """Send a start until its fate is known."""
+        """Send a start, and repeat it until its outcome is known."""
         cell = self.holder.cell
         run.phase = RunPhase.SENDING
         self._report_due.set()
         while run.phase is RunPhase.SENDING:
             if not cell.booked(run):
-                # Given up while this waited to send it again: its task may run
-                # elsewhere by now, and this start would be a second run of it.
+                # The run was given up while this waited to retry. Its task may run
+                # elsewhere by now, so this start would run it twice.
                 return
-            if not self.holder.may_order():
-                # The store is away. If it comes back with this holder still in
-                # place, the start is still to be sent: nobody else will.
-                await asyncio.sleep(SILENT_PAUSE_S)
+            if not self.holder.may_send_orders():
+                # The store cannot be reached. If it returns while this instance still
+                # holds the cell, the start must still be sent: no other instance will.
+                await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             now_s = self.holder.clock.now_s()
             if not cell.may_start(now_s):
-                # The worker may have shrunk, or its data centre be evacuated, and this
-                # holder cannot read it.
-                await asyncio.sleep(SILENT_PAUSE_S)
+                # The holder's views are too old: the worker's capacity may have been
+                # reduced or its data centre evacuated without this holder knowing.
+                await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             deadline_s = cell.lease_deadline(self.worker_id, now_s)
             if deadline_s is None:
-                # Its lease was running out before it reported to this holder: it gets
-                # a new one as soon as a record says so.
-                await asyncio.sleep(LAPSE_PAUSE_S)
+                # The worker's lease was about to expire before its first report to this
+                # holder: it gets a new lease once a record of that is stored.
+                await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
                 continue
             if run.sent_at_s == float("inf"):
                 run.sent_at_s = now_s
             outcome = await self.port.start(run, payload, deadline_s)
             if outcome == Refused(Reason.FENCED):
-                self.holder.lose("a start was refused for its token")
+                self.holder.step_down("a start was refused for its token")
                 return
             now_s = self.holder.clock.now_s()
             pause_s = cell.orders.start_answered(run, outcome, now_s)
@@ -212,7 +213,7 @@
             if pause_s is None:
                 return
             log.info(
-                "start: again",
+                "start: retrying",
                 job=run.key.job_id,
                 task=run.key,
                 run=run.number,
@@ -224,42 +225,42 @@
 
     async def stop(self, order: StopOrder) -> None:
         """
-        Send a stop until it is answered or its run has ended.
+        Send a stop, and repeat it until it is answered or its run has ended.
 
-        Guards against a run that counts as being stopped for good: a start that was
-        lost is in no report, so no report repeats its stop. Its room would stay
-        taken and its task would never run again. Nothing but an answer, an end or
-        the end of the worker's lease lets go of the run, and this goes on until then.
+        A run whose start was lost is in no report, so no report triggers its stop
+        again. Without the repeats such a run would count as stopping for good: its
+        resources would stay reserved and its task would never run again. The run is
+        released only by an answer, its end or the expiry of the worker's lease.
         """
         name = (order.run.key, order.run.number)
-        if name in self._stopping:
-            # Guards against ever more loops for one run: a report that lists it
-            # orders the stop again while an answer is late.
+        if name in self._stops_in_progress:
+            # One loop per run: while an answer is late, each report that lists the
+            # run orders its stop again.
             return
-        self._stopping.add(name)
+        self._stops_in_progress.add(name)
         try:
             await self._stop(order)
         finally:
-            self._stopping.discard(name)
+            self._stops_in_progress.discard(name)
 
     async def _stop(self, order: StopOrder) -> None:
         cell = self.holder.cell
-        pause_s = STOP_PAUSE_S
+        pause_s = STOP_RETRY_BASE_S
         while cell.booked(order.run):
             order.run.stop_sent_at_s = self.holder.clock.now_s()
-            if not self.holder.may_order():
-                await asyncio.sleep(SILENT_PAUSE_S)
+            if not self.holder.may_send_orders():
+                await asyncio.sleep(RETRY_PAUSE_S)
                 continue
             outcome = await self.port.stop(order.run)
             now_s = self.holder.clock.now_s()
             if not cell.orders.stop_answered(order, outcome, now_s):
                 return
             await asyncio.sleep(pause_s)
-            pause_s = min(STOP_PAUSE_MAX_S, 2 * pause_s)
+            pause_s = min(STOP_RETRY_MAX_S, 2 * pause_s)
 
     async def pace(self, order: PaceOrder) -> None:
-        """Send a pace; a lost one is sent again with the next change."""
-        if not self.holder.may_order():
+        """Send a pace once; a lost one is sent again with the next change."""
+        if not self.holder.may_send_orders():
             return
         outcome = await self.port.pace(order.run, order.percent)
         if isinstance(outcome, NoAnswer):
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/settings.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/settings.py
@@ -1,4 +1,4 @@
-"""Keep the settings of one instance, each with its unit and its reason."""
+"""Define the settings of one instance, each with its unit and its reason."""
 
 from dataclasses import dataclass, field
 
@@ -9,51 +9,54 @@
 @dataclass(frozen=True, slots=True)
 class InstanceSettings:
     """
-    What one instance is told at its start.
+    The settings that one instance gets at its start.
 
-    ``instance_id`` names this life of the process. ``cores`` describes
-    its machine.
+    ``instance_id`` is unique for each run of the process. ``cores`` is the number of
+    CPU cores of its machine.
     """
 
     instance_id: str
     name: str
     data_centre: str
     cores: float
-    # Where this process listens for its peers; without it they are not used.
+    # Address at which this process listens for its peers; without one, no peers are
+    # used.
     peer_address: Address | None = None
     cell: CellSettings = field(default_factory=CellSettings)
-    # Between two reads of jobs and progress by an instance that does not hold
-    # the cell: a caller's view is at most this old, and each read has a price.
+    # Shortest pause between two reads of jobs and progress by an instance that does not
+    # hold the cell. It bounds the age of the view shown to callers against the cost of
+    # reads.
     standby_read_s: float = 0.25
-    # Read rate of the store, shared by all instances: those that do not hold the cell
-    # read less often as the number of instances grows.
+    # Read rate of the store in calls per second, shared by all instances: those that do
+    # not hold the cell read less often as the number of instances grows.
     store_reads_per_s: float = 2000.0
-    # The holder's own view of the list of workers: drains must be seen in 2 s.
+    # Pause between the holder's reads of the list of workers: drains must take effect
+    # within 2 s.
     workers_read_s: float = 0.4
-    # A read waits this long for a record. Twice this is still below the 2 s in
-    # which a new configuration must be in force after a connection went silent.
+    # How long a read waits for a record. Twice this does not exceed the 2 s in which a
+    # new configuration must be in force after a connection went silent.
     read_wait_s: float = 1.0
-    # The same for the holder's read of the log of jobs: an answer that was lost costs
-    # half a second less before new jobs are seen again, and an idle cell one call more
-    # a second.
+    # The same for the holder's reads of the log of jobs. After a lost answer new jobs
+    # are seen half a second sooner than with ``read_wait_s``, at the cost of one more
+    # call per second in an idle cell.
     holder_read_wait_s: float = 0.5
-    # "No such queue" is said by a configuration that was the newest so long ago or
-    # less: a new one has to be in force 2 s after it was stored.
+    # Age of the view up to which "no such queue" may be answered: a new configuration
+    # must be in force 2 s after it was stored.
     configuration_recent_s: float = 1.8
-    # An instance that could not read for so long says that it is not ready:
-    # three reads have failed by then.
+    # Age of the view at which an instance reports that it is not ready: three reads
+    # have failed by then.
     stale_s: float = 2.5
-    # A job that the store has not taken after so long is refused, if it is
-    # certain not to be stored: the caller's next try reaches another instance.
+    # Time after which a job is refused if the store has not accepted it and it is
+    # certain not to be stored: the caller's next attempt reaches another instance.
     append_patience_s: float = 0.25
-    # The wait for the answer to an append: ten times a slow one.
+    # Timeout of an append: ten times the duration of a slow one.
     append_timeout_s: float = 1.0
-    # After SIGTERM: the balancer needs two misses, a second apart, to look
-    # away; new connections are served until then.
+    # Time for which new connections are served after SIGTERM: the load balancer needs
+    # two failed health checks, a second apart, to stop sending them.
     drain_s: float = 2.6
-    # The whole time from SIGTERM to the end of the process.
+    # Time from SIGTERM to the end of the process.
     grace_s: float = 5.0
-    # An instance of one core waits this long before it claims, one of two cores half
-    # as long: more than a claim takes to be seen by others, 0.1 s.
+    # Delay of a claim by an instance with one core; with two cores it is half as long.
+    # It exceeds the 0.1 s after which other instances see a claim.
     claim_delay_core_s: float = 0.25
     claim_jitter_s: float = 0.1
--- a/packages/hornbeampaddle-cell/hornbeampaddle_cell/unreadable.py
+++ b/packages/hornbeampaddle-cell/hornbeampaddle_cell/unreadable.py
@@ -1,36 +1,36 @@
 """
-Name the records that cannot be read, once each.
+Log records that cannot be read, once per key.
 
-Other writers may put anything into the logs. Such a record names nothing, and what was
-read before it holds; an error that left the reader would end every instance, for all
-read the same record.
+Other writers may put anything into the logs. An unreadable record is skipped, and the
+value read before it stays valid. An error raised out of the reader would end every
+instance, since all read the same record.
 """
 
 import structlog
 
 log = structlog.get_logger()
 
-# Keys that are remembered as named; with more, some are named a second time.
-KEYS_MAX = 1000
+# Number of keys remembered as logged; beyond it, some keys are logged again.
+REMEMBERED_KEYS_MAX = 1000
 
 
-class Unreadable:
+class UnreadableRecords:
     """The keys of one log whose newest record cannot be read."""
 
     def __init__(self, log_name: str) -> None:
-        """Start with none."""
+        """Start with no unreadable keys."""
         self.log_name = log_name
         self._keys: set[str] = set()
 
-    def note(self, key: str, why: str) -> None:
-        """Take in a record that cannot be read; the first of its key is logged."""
+    def mark_unreadable(self, key: str, why: str) -> None:
+        """Mark a key's newest record as unreadable; logs the first of each key."""
         if key in self._keys:
             return
-        if len(self._keys) >= KEYS_MAX:
+        if len(self._keys) >= REMEMBERED_KEYS_MAX:
             self._keys.clear()
         self._keys.add(key)
         log.error("record: not understood", log=self.log_name, key=key, why=why)
 
-    def readable(self, key: str) -> None:
-        """Take in that the newest record of a key can be read."""
+    def mark_readable(self, key: str) -> None:
+        """Mark a key's newest record as readable."""
         self._keys.discard(key)
--- a/packages/hornbeampaddle-standins/hornbeampaddle_standins/cell/world.py
+++ b/packages/hornbeampaddle-standins/hornbeampaddle_standins/cell/world.py
@@ -279,7 +279,7 @@
         """Draw all that an instance draws from the world's seed."""
         seed = self.seed + self.lives
         instance.leadership.random = Random(seed)
-        instance.book.random = Random(seed)
+        instance.peer_directory.random = Random(seed)
         for follower in (instance.jobs, instance.progress, instance.operator):
             follower.random = Random(seed)
 
@@ -301,7 +301,7 @@
     def holder(self) -> str | None:
         """Return the instance that holds the cell, if one does."""
         for name, instance in self.instances.items():
-            if instance.holder is not None and instance.holder.may_order():
+            if instance.holder is not None and instance.holder.may_send_orders():
                 return name
         return None
 
