--- a/Makefile
+++ b/Makefile
@@ -41,7 +41,7 @@
 	PYTHONHASHSEED=0 $(BIN)/python -m bench.cell_gaps
 
 # What callers get by the scheduler's decisions alone (about 30 s); ARGS="--seeds 8
-# --load tight --set placing.KIN_MILLIS=0" compares a changed threshold.
+# --load tight --set placing.SIMILARITY_WEIGHT_MILLIS=0" compares a changed threshold.
 policy: $(STAMP)
 	PYTHONHASHSEED=0 $(BIN)/python -m bench.policy $(ARGS)
 
--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measure the product: nothing here passes or fails by time."""
+"""Benchmarks; none of them passes or fails on a duration."""
--- a/bench/ablation.py
+++ b/bench/ablation.py
@@ -1,8 +1,9 @@
 """
-Switch off the scheduler's mechanisms one by one and print what callers get without.
+Disable the scheduler's mechanisms one at a time and print the earned credits.
 
-Each runs on the same emulated days as the whole. The relay and the store are not part
-of the emulator; what they are worth shows only where instances are turned away.
+Every variant runs on the same emulated days as the complete scheduler. The relay and
+the store are not part of the emulator; their effect is visible only where the store
+refuses instances.
 """
 
 import argparse
@@ -22,29 +23,27 @@
 from hornbeampaddle_standins.cell.loads import LOADS
 
 PROCESSES = 2
-PLAY_S = 40.0
+SIMULATED_S = 40.0
 SETTLE_S = 8.0
 KINDS = ("urgent", "serving", "batch")
 
 
-def _nothing(*_: object) -> None:
-    """Stand for a mechanism that does nothing."""
+def _no_op(*_: object) -> None:
+    """Replace a mechanism by one that does nothing."""
 
 
-WITHOUT: dict[str, Callable[[], AbstractContextManager[object]]] = {
+ABLATIONS: dict[str, Callable[[], AbstractContextManager[object]]] = {
     "everything as it is": nullcontext,
     "learned interference": lambda: patch.object(
         Interference, "slope", lambda *_: PRIOR_SLOPE
     ),
-    "pacing": lambda: patch.object(pacing.Pacer, "_set", _nothing),
-    "preemption": lambda: patch.object(dispatch, "make_room", _nothing),
-    "kin": lambda: patch.object(placing, "KIN_MILLIS", 0),
-    "outlook, kin in its place": lambda: patch.object(Scheduler, "outlook", _nothing),
-    "expected swings": lambda: patch.object(SlackForecaster, "choose", _nothing),
-    "exchanges": lambda: patch.object(Separator, "separate", _nothing),
-    "moves of slow fillers": lambda: patch.object(
-        moving, "move_slow_fillers", _nothing
-    ),
+    "pacing": lambda: patch.object(pacing.Pacer, "_set", _no_op),
+    "preemption": lambda: patch.object(dispatch, "make_room", _no_op),
+    "kin": lambda: patch.object(placing, "SIMILARITY_WEIGHT_MILLIS", 0),
+    "outlook, kin in its place": lambda: patch.object(Scheduler, "outlook", _no_op),
+    "expected swings": lambda: patch.object(SlackForecaster, "choose", _no_op),
+    "exchanges": lambda: patch.object(Separator, "separate", _no_op),
+    "moves of slow fillers": lambda: patch.object(moving, "move_slow_fillers", _no_op),
     "slow starts of idle jobs": lambda: patch.object(
         slow_starts, "left_idle", lambda *_: False
     ),
@@ -53,10 +52,15 @@
 
 
 def play(load: str, seed: int, mechanism: str) -> tuple[float, dict[str, float], float]:
-    """Return the share of credits in all and by kind, and the longest time over."""
-    with WITHOUT[mechanism]():
+    """
+    Emulate one day with a mechanism disabled.
+
+    Return the share of credits in total and by kind, and the longest time that fillers
+    kept a serving task over its target, in seconds.
+    """
+    with ABLATIONS[mechanism]():
         emulator = Emulator(Demand(seed, LOADS[load]))
-        emulator.play(PLAY_S)
+        emulator.play(SIMULATED_S)
         emulator.settle(SETTLE_S)
     earnings = emulator.earnings()
     shares = {kind: earnings[kind].ratio for kind in KINDS if kind in earnings}
@@ -64,10 +68,10 @@
 
 
 def main() -> None:
-    """Print a row for each load and mechanism, with the spread over the seeds."""
+    """Print a row per load and disabled mechanism, with the spread over the seeds."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--load", action="append", choices=sorted(LOADS))
-    parser.add_argument("--without", action="append", choices=sorted(WITHOUT))
+    parser.add_argument("--without", action="append", choices=sorted(ABLATIONS))
     parser.add_argument("--seeds", type=int, default=4)
     options = parser.parse_args()
     seeds = range(1, options.seeds + 1)
@@ -75,7 +79,7 @@
     print("| --- | --- | --- | --- | --- | --- | --- | --- |")
     with ProcessPoolExecutor(PROCESSES) as pool:
         for load in options.load or ["usual", "crowded", "hostile", "pressing"]:
-            for name in options.without or WITHOUT:
+            for name in options.without or ABLATIONS:
                 days = list(
                     pool.map(play, [load] * len(seeds), seeds, [name] * len(seeds))
                 )
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -1,9 +1,9 @@
 """
-Measure how cost grows with size, and fit a line to each.
+Measure how resource usage grows with the size of the system.
 
-Runs the real daemon as processes against the stand-ins at several sizes of one
+Runs daemon processes against the simulated platform, varying the size of one
 dimension at a time, and writes ``docs/capacity/data.json``. ``bench.report``
-turns that into the tables and plots of docs/CAPACITY.md.
+fits a line to each series and writes the tables and plots of docs/CAPACITY.md.
 """
 
 import json
@@ -20,22 +20,22 @@
     Usage,
     entries,
     measure,
-    quiet,
+    pause_between_measurements,
     standins,
     wait_for_workers,
 )
 
-OUT = Path(__file__).parent.parent / "docs" / "capacity" / "data.json"
-SPAN_S = 8.0
+DATA_FILE = Path(__file__).parent.parent / "docs" / "capacity" / "data.json"
+MEASUREMENT_S = 8.0
 SETTLE_S = 4.0
 GIB = 1024**3
-SMALL_JOB = {"cpu_millis": 1000, "memory_bytes": GIB, "accelerators": 0}
-LONG_S = 100_000.0
+SMALL_TASK_NEEDS = {"cpu_millis": 1000, "memory_bytes": GIB, "accelerators": 0}
+LONG_RUN_S = 100_000.0
 
 
 @dataclass
 class Point:
-    """One measurement: the size of what varied, and what an instance used."""
+    """One measurement: the size of the varied dimension, and an instance's usage."""
 
     series: str
     size: int
@@ -45,7 +45,7 @@
     messages_per_s: float
 
 
-def _point(series: str, size: int, usage: Usage) -> Point:
+def _record_point(series: str, size: int, usage: Usage) -> Point:
     point = Point(series, size, **asdict(usage))
     print(
         f"{series:12} {size:6}  {point.memory_mb:6.1f} MB  {point.cpu_percent:6.2f} %  "
@@ -55,23 +55,29 @@
     return point
 
 
-def _workers(size: int) -> Usage:
-    """Measure one instance that decides for ``size`` idle workers."""
-    with standins(size) as described, entries(1, described["platform"]) as started:
+def _measure_workers(size: int) -> Usage:
+    """Measure one instance that is the decider of ``size`` idle workers."""
+    with (
+        standins(size) as standin_addresses,
+        entries(1, standin_addresses["platform"]) as started,
+    ):
         wait_for_workers(started, size)
         time.sleep(SETTLE_S)
-        return measure(started[0], SPAN_S)
+        return measure(started[0], MEASUREMENT_S)
 
 
-def _attempts(size: int) -> Usage:
+def _measure_attempts(size: int) -> Usage:
     """Measure one instance with 30 workers that run ``size`` long attempts."""
-    with standins(30) as described, entries(1, described["platform"]) as started:
+    with (
+        standins(30) as standin_addresses,
+        entries(1, standin_addresses["platform"]) as started,
+    ):
         wait_for_workers(started, 30)
         if size:
-            _submit(started[0], "long", size, LONG_S)
+            _submit(started[0], "long", size, LONG_RUN_S)
         _wait_for_tasks(started[0], size)
         time.sleep(SETTLE_S)
-        return measure(started[0], SPAN_S)
+        return measure(started[0], MEASUREMENT_S)
 
 
 def _submit(entry: Entry, job_id: str, tasks: int, run_s: float) -> None:
@@ -80,7 +86,7 @@
         "team": "archive",
         "kind": "long",
         "tasks": tasks,
-        "needs": SMALL_JOB,
+        "needs": SMALL_TASK_NEEDS,
         "run_s": run_s,
     }
     entry.post(entry.callers, "jobs", spec)
@@ -92,20 +98,26 @@
         if len(entry.look("tasks")["tasks"]) >= tasks:
             return
         time.sleep(0.5)
-    raise RuntimeError("not all tasks run")
+    raise RuntimeError("not all tasks run after 60 s")
 
 
-def _instances(size: int) -> Usage:
+def _measure_instances(size: int) -> Usage:
     """Measure one of ``size`` instances that share 30 workers."""
-    with standins(30) as described, entries(size, described["platform"]) as started:
+    with (
+        standins(30) as standin_addresses,
+        entries(size, standin_addresses["platform"]) as started,
+    ):
         wait_for_workers(started, 30)
         time.sleep(SETTLE_S)
-        return measure(started[0], SPAN_S)
+        return measure(started[0], MEASUREMENT_S)
 
 
-def _teams(size: int) -> Usage:
-    """Measure one instance with ``size`` quotas, so as many changes, in force."""
-    with standins(30) as described, entries(1, described["platform"]) as started:
+def _measure_teams(size: int) -> Usage:
+    """Measure one instance with ``size`` quotas, and so as many changes, applied."""
+    with (
+        standins(30) as standin_addresses,
+        entries(1, standin_addresses["platform"]) as started,
+    ):
         wait_for_workers(started, 30)
         for number in range(size):
             needs = {"cpu_millis": 100_000, "memory_bytes": 100 * GIB}
@@ -113,12 +125,12 @@
                 {"type": "ChangeQuota", "team": f"team-{number}", "needs": needs}
             )
         time.sleep(SETTLE_S)
-        return measure(started[0], SPAN_S)
+        return measure(started[0], MEASUREMENT_S)
 
 
 @dataclass
 class Rate:
-    """Processor time for each of many events of one kind."""
+    """CPU time and appends per event, over many events of one kind."""
 
     kind: str
     count: int
@@ -126,10 +138,13 @@
     appends_per_event: float
 
 
-def _starts() -> Rate:
-    """Measure the processor time of a batch task from start to recorded end."""
+def _measure_task_runs() -> Rate:
+    """Measure the CPU time per batch task from start to recorded end."""
     tasks = 2000
-    with standins(30) as described, entries(1, described["platform"]) as started:
+    with (
+        standins(30) as standin_addresses,
+        entries(1, standin_addresses["platform"]) as started,
+    ):
         entry = started[0]
         wait_for_workers([entry], 30)
         process = psutil.Process(entry.process.pid)
@@ -143,10 +158,13 @@
     return Rate("task start to end", tasks, 1e6 * used_s / tasks, appends / tasks)
 
 
-def _changes() -> Rate:
-    """Measure the processor time of a plan, its confirmation and its record."""
+def _measure_plan_changes() -> Rate:
+    """Measure the CPU time per plan with its confirmation and its record."""
     changes = 300
-    with standins(30) as described, entries(1, described["platform"]) as started:
+    with (
+        standins(30) as standin_addresses,
+        entries(1, standin_addresses["platform"]) as started,
+    ):
         entry = started[0]
         wait_for_workers([entry], 30)
         process = psutil.Process(entry.process.pid)
@@ -160,34 +178,38 @@
 
 
 SERIES: dict[str, tuple[Callable[[int], Usage], tuple[int, ...]]] = {
-    "workers": (_workers, (30, 100, 410, 1600)),
-    "attempts": (_attempts, (0, 100, 400, 1200)),
-    "instances": (_instances, (2, 4, 8, 24)),
-    "teams": (_teams, (10, 100, 300, 510)),
+    "workers": (_measure_workers, (30, 100, 410, 1600)),
+    "attempts": (_measure_attempts, (0, 100, 400, 1200)),
+    "instances": (_measure_instances, (2, 4, 8, 24)),
+    "teams": (_measure_teams, (10, 100, 300, 510)),
 }
 
 
 def main() -> None:
-    """Measure all series, or those named as arguments, and keep the data."""
-    chosen = sys.argv[1:] or list(SERIES)
-    kept = json.loads(OUT.read_text()) if OUT.exists() else {"points": [], "rates": []}
-    points = [p for p in kept["points"] if p["series"] not in chosen]
-    for name in chosen:
+    """Measure all series, or those named as arguments, and save the data."""
+    selected = sys.argv[1:] or list(SERIES)
+    previous = (
+        json.loads(DATA_FILE.read_text())
+        if DATA_FILE.exists()
+        else {"points": [], "rates": []}
+    )
+    points = [p for p in previous["points"] if p["series"] not in selected]
+    for name in selected:
         run, sizes = SERIES[name]
         for size in sizes:
-            points.append(asdict(_point(name, size, run(size))))
-            _keep(points, kept["rates"])
-            quiet()
-    rates = [asdict(_starts()), asdict(_changes())]
+            points.append(asdict(_record_point(name, size, run(size))))
+            _write_data(points, previous["rates"])
+            pause_between_measurements()
+    rates = [asdict(_measure_task_runs()), asdict(_measure_plan_changes())]
     for rate in rates:
         print(rate)
-    _keep(points, rates)
+    _write_data(points, rates)
 
 
-def _keep(points: list[dict], rates: list[dict]) -> None:
-    OUT.parent.mkdir(parents=True, exist_ok=True)
+def _write_data(points: list[dict], rates: list[dict]) -> None:
+    DATA_FILE.parent.mkdir(parents=True, exist_ok=True)
     data = {"points": points, "rates": rates}
-    OUT.write_text(json.dumps(data, indent=1) + "\n")
+    DATA_FILE.write_text(json.dumps(data, indent=1) + "\n")
 
 
 if __name__ == "__main__":
--- a/bench/cell_gaps.py
+++ b/bench/cell_gaps.py
@@ -1,9 +1,9 @@
 """
-Measure, in simulated time, what a fault costs a cell under steady load.
+Measure, in simulated time, the cost of each fault to a cell under steady load.
 
-Real instances on the stand-ins; a small job comes every 0.2 s. For each fault:
-the longest span without a new start while jobs wait, the runs that were lost
-though their workers lived, and whether a promise was broken.
+Instances run on a simulated platform; a small job arrives every 0.2 s. Reported for
+each fault: the longest time without a new start while jobs wait, the runs that were
+lost although their workers were alive, and the violated guarantees.
 """
 
 import asyncio
@@ -23,23 +23,23 @@
 from hornbeampaddle_standins.cell.world import URGENT, World  # noqa: E402
 
 SEEDS = 10
-BEFORE_S = 10.0
-AFTER_S = 25.0
-JOB_EVERY_S = 0.2
+WARM_UP_S = 10.0
+OBSERVATION_S = 25.0
+JOB_INTERVAL_S = 0.2
 OUTAGE_S = 5.0
 
 
 @dataclass(frozen=True)
-class Cost:
-    """What one fault cost one run."""
+class FaultCost:
+    """The cost of one fault in one simulation run."""
 
     gap_s: float
     lost_runs: int
     broken: int
 
 
-async def _nothing(world: World) -> None:
-    """No fault: the base that the others are held against."""
+async def _no_fault(world: World) -> None:
+    """Inject nothing: the baseline for the faults."""
 
 
 async def _kill_holder(world: World) -> None:
@@ -54,7 +54,7 @@
     await world.instances[name].stop()
 
 
-async def _turn_away(world: World) -> None:
+async def _refuse_holder(world: World) -> None:
     world.store.faults[world.holder() or ""] = StoreFault.REFUSES
 
 
@@ -70,39 +70,39 @@
         world.start_instance(f"i{number}")
 
 
-def _store(fault: StoreFault) -> Callable[[World], Awaitable[None]]:
-    async def act(world: World) -> None:
+def _store_outage(fault: StoreFault) -> Callable[[World], Awaitable[None]]:
+    async def inject(world: World) -> None:
         world.store.faults[""] = fault
         await asyncio.sleep(OUTAGE_S)
         world.store.faults.clear()
 
-    return act
+    return inject
 
 
-async def _slow(world: World) -> None:
+async def _slow_store(world: World) -> None:
     world.store.answer_s *= 60
     await asyncio.sleep(OUTAGE_S)
     world.store.answer_s /= 60
 
 
 FAULTS: dict[str, Callable[[World], Awaitable[None]]] = {
-    "none": _nothing,
+    "none": _no_fault,
     "holder killed": _kill_holder,
     "holder told to stop": _stop_holder,
-    "holder turned away by the store": _turn_away,
+    "holder turned away by the store": _refuse_holder,
     "holder's store is silent": _silence_holder,
     "all instances killed for 1 s": _kill_all,
-    "store refuses all for 5 s": _store(StoreFault.REFUSES),
-    "store silent to all for 5 s": _store(StoreFault.SILENT),
-    "store loses all answers for 5 s": _store(StoreFault.LOSES_ANSWERS),
-    "store 60 times slower for 5 s": _slow,
+    "store refuses all for 5 s": _store_outage(StoreFault.REFUSES),
+    "store silent to all for 5 s": _store_outage(StoreFault.SILENT),
+    "store loses all answers for 5 s": _store_outage(StoreFault.LOSES_ANSWERS),
+    "store 60 times slower for 5 s": _slow_store,
 }
 
 
 async def _load(world: World) -> None:
     number = 0
     while True:
-        await asyncio.sleep(JOB_EVERY_S)
+        await asyncio.sleep(JOB_INTERVAL_S)
         number += 1
         names = world.served()
         if names:
@@ -112,46 +112,46 @@
             )
 
 
-async def _play(seed: int, fault: Callable[[World], Awaitable[None]]) -> Cost:
+async def _run_fault(seed: int, fault: Callable[[World], Awaitable[None]]) -> FaultCost:
     world = World(seed, work_s=2.0)
     await build(world, 3, 6)
     loop = asyncio.get_running_loop()
     load = asyncio.create_task(_load(world))
-    await asyncio.sleep(BEFORE_S)
+    await asyncio.sleep(WARM_UP_S)
     begun_s = loop.time()
     await fault(world)
-    await asyncio.sleep(AFTER_S)
+    await asyncio.sleep(OBSERVATION_S)
     load.cancel()
     await asyncio.sleep(10.0)
     starts = world.judge.started_at_s
-    within = [at_s for at_s in starts if begun_s - 1 < at_s < begun_s + AFTER_S]
+    within = [at_s for at_s in starts if begun_s - 1 < at_s < begun_s + OBSERVATION_S]
     gaps = [after - before for before, after in zip(within, within[1:], strict=False)]
     lost = world.judge.starts - len(world.judge.done)
     broken = len(world.judge.broken)
     await world.close()
-    return Cost(max(gaps, default=AFTER_S), lost, broken)
+    return FaultCost(max(gaps, default=OBSERVATION_S), lost, broken)
 
 
-def _drop(logger: object, method: str, fields: object) -> dict[str, object]:
+def _drop_log_event(logger: object, method: str, fields: object) -> dict[str, object]:
     raise structlog.DropEvent
 
 
-def _one(seed: int, fault: Callable[[World], Awaitable[None]]) -> Cost:
+def _run_seed(seed: int, fault: Callable[[World], Awaitable[None]]) -> FaultCost:
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
     try:
-        return loop.run_until_complete(_play(seed, fault))
+        return loop.run_until_complete(_run_fault(seed, fault))
     finally:
         loop.close()
 
 
 def main() -> None:
-    """Print a table: median and longest gap, lost runs, broken promises."""
-    structlog.configure(processors=[_drop])
+    """Print for each fault the gaps, the lost runs and the violated guarantees."""
+    structlog.configure(processors=[_drop_log_event])
     print("| fault | gap, median s | longest s | runs lost | promises broken |")
     print("| --- | --- | --- | --- | --- |")
     for name, fault in FAULTS.items():
-        costs = [_one(seed, fault) for seed in range(SEEDS)]
+        costs = [_run_seed(seed, fault) for seed in range(SEEDS)]
         gaps = sorted(cost.gap_s for cost in costs)
         lost = sum(cost.lost_runs for cost in costs)
         broken = sum(cost.broken for cost in costs)
--- a/bench/policy.py
+++ b/bench/policy.py
@@ -1,10 +1,10 @@
 """
-Play the scheduler alone against drawn loads and print what callers get.
+Run the scheduler alone against random loads and print the earned credits.
 
-The emulator's day of a seed is the same for every policy, so a changed threshold is
-compared seed by seed: ``--set placing.KIN_MILLIS=0`` sets a constant of a module of
-``hornbeampaddle.cell``, ``--set settings.pace_below_slack=1.3`` a field of the cell's
-settings.
+The emulated day of a seed is the same for every policy, so the effect of a changed
+threshold can be compared seed by seed. ``--set placing.SIMILARITY_WEIGHT_MILLIS=0``
+sets a constant of a module of ``hornbeampaddle.cell``, ``--set
+settings.pace_below_slack=1.3`` a field of the cell's settings.
 """
 
 import argparse
@@ -21,14 +21,14 @@
 from hornbeampaddle_standins.cell.loads import LOADS
 
 PROCESSES = 4
-PLAY_S = 50.0
+SIMULATED_S = 50.0
 SETTLE_S = 8.0
 KINDS = ("urgent", "serving", "batch")
 
 
 @dataclass(frozen=True)
 class Change:
-    """A constant or a setting to play with, and its value."""
+    """An override of a module constant or a setting."""
 
     module: str
     name: str
@@ -36,8 +36,8 @@
 
 
 @dataclass(frozen=True)
-class Played:
-    """What one day gave: shares of the credits owed, and seconds."""
+class DayResult:
+    """The result of one emulated day: shares of the credits due, and durations."""
 
     load: str
     seed: int
@@ -48,7 +48,7 @@
 
 
 def change(text: str) -> Change:
-    """Read ``MODULE.NAME=VALUE``."""
+    """Parse ``MODULE.NAME=VALUE``."""
     path, _, value = text.partition("=")
     module, _, name = path.partition(".")
     return Change(module, name, float(value))
@@ -67,8 +67,8 @@
     return settings
 
 
-def play(load: str, seed: int, changes: list[Change]) -> Played:
-    """Play one day."""
+def play(load: str, seed: int, changes: list[Change]) -> DayResult:
+    """Emulate one day under the given overrides."""
     emulator = Emulator(Demand(seed, LOADS[load]), _settings(changes))
     took_s: list[float] = []
     decide = emulator.cell.decide
@@ -80,10 +80,10 @@
         return decision
 
     emulator.cell.decide = timed  # type: ignore[method-assign]
-    emulator.play(PLAY_S)
+    emulator.play(SIMULATED_S)
     emulator.settle(SETTLE_S)
     earnings = emulator.earnings()
-    return Played(
+    return DayResult(
         load,
         seed,
         emulator.total(),
@@ -93,7 +93,7 @@
     )
 
 
-def _row(load: str, days: list[Played]) -> str:
+def _row(load: str, days: list[DayResult]) -> str:
     shares = [statistics.fmean(day.total for day in days)]
     for kind in KINDS:
         shares.append(statistics.fmean(day.by_kind.get(kind, 0.0) for day in days))
@@ -107,7 +107,7 @@
 
 
 def main() -> None:
-    """Play all seeds of the loads that were asked for."""
+    """Print a row per selected load, averaged over the seeds."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--load", action="append", choices=sorted(LOADS))
     parser.add_argument("--seeds", type=int, default=4)
--- a/bench/processes.py
+++ b/bench/processes.py
@@ -1,4 +1,4 @@
-"""Run stand-ins and entry instances as processes, and measure them."""
+"""Run the simulated platform and entry instances as processes, and measure them."""
 
 import json
 import os
@@ -21,13 +21,13 @@
 TOKEN = "operators-of-the-bench"
 PEER_KEY = "peers-of-the-bench-only"
 LOOPBACK = "127.0.0.1"
-START_S = 30.0
+START_TIMEOUT_S = 30.0
 BINARY = Path(sys.executable).parent / "hornbeampaddled"
 
 
 @dataclass
 class Entry:
-    """One entry instance as a process of its own."""
+    """One entry instance in its own process."""
 
     name: str
     process: subprocess.Popen
@@ -35,7 +35,7 @@
     operators: int
 
     def look(self, path: str) -> Any:
-        """Return an operators' view as JSON."""
+        """Return the decoded JSON of an operators' GET endpoint."""
         url = f"http://{LOOPBACK}:{self.operators}/v1/{path}"
         headers = {"authorization": f"Bearer {TOKEN}"}
         request = urllib.request.Request(url, headers=headers)
@@ -43,7 +43,7 @@
             return json.load(response)
 
     def post(self, port: int, path: str, value: Any) -> Any:
-        """Post JSON to one of the listeners."""
+        """POST JSON to one of the listeners; return the decoded response."""
         url = f"http://{LOOPBACK}:{port}/v1/{path}"
         headers = {"authorization": f"Bearer {TOKEN}"}
         body = json.dumps(value).encode()
@@ -52,14 +52,14 @@
             return json.load(response)
 
     def confirm(self, intent: dict[str, Any]) -> None:
-        """Plan and confirm an intent."""
+        """Request the plan for an intent and confirm it."""
         plan = self.post(self.operators, "plans", intent)
         self.post(self.operators, "confirmations", plan)
 
 
 @dataclass
 class Usage:
-    """What one process used over a span: memory, processor share, traffic."""
+    """Usage of one process over an interval: memory, CPU and traffic."""
 
     memory_mb: float
     cpu_percent: float
@@ -68,12 +68,12 @@
 
 
 def measure(entry: Entry, span_s: float) -> Usage:
-    """Watch an entry instance for a while."""
+    """Return an entry instance's usage over the next ``span_s`` seconds."""
     process = psutil.Process(entry.process.pid)
-    before, cpu_before = _counted(entry), _cpu_s(process)
+    before, cpu_before = _traffic_counters(entry), _cpu_s(process)
     begun_s = time.monotonic()
     time.sleep(span_s)
-    after, cpu_after = _counted(entry), _cpu_s(process)
+    after, cpu_after = _traffic_counters(entry), _cpu_s(process)
     elapsed_s = time.monotonic() - begun_s
     return Usage(
         memory_mb=process.memory_info().rss / 1e6,
@@ -88,7 +88,7 @@
     return float(times.user + times.system)
 
 
-def _counted(entry: Entry) -> tuple[int, int]:
+def _traffic_counters(entry: Entry) -> tuple[int, int]:
     traffic = entry.look("status")["traffic"]
     names = (
         "sent_bytes",
@@ -104,7 +104,7 @@
 def standins(
     workers: int, service_ms: float = 10.0, rack_size: int = 10
 ) -> Iterator[dict[str, Any]]:
-    """Run the stand-ins as one process; yield where they are."""
+    """Run the simulated platform in one process; yield its addresses."""
     command = [sys.executable, "-m", "hornbeampaddle_standins"]
     command += ["--workers", str(workers), "--service-ms", str(service_ms)]
     command += ["--rack-size", str(rack_size)]
@@ -154,9 +154,10 @@
     traces: Path | None = None,
 ) -> Iterator[list[Entry]]:
     """
-    Run entry instances of one data centre, each as a process.
+    Run entry instances of one data centre, each in its own process.
 
-    With ``traces``, each writes its spans to a file of its name in that folder.
+    With ``traces``, each instance writes its spans to a file with its name in that
+    directory.
     """
     ports = free_ports(3 * count)
     peers = {f"e{number}": ports[number] for number in range(count)}
@@ -164,8 +165,8 @@
     with tempfile.TemporaryDirectory() as folder:
         try:
             for number, name in enumerate(peers):
-                own = (ports[count + number], ports[2 * count + number])
-                raw = _settings(name, own, peers, platform, timing or {})
+                own_ports = (ports[count + number], ports[2 * count + number])
+                raw = _settings(name, own_ports, peers, platform, timing or {})
                 if traces is not None:
                     raw["telemetry"]["traces_file"] = str(traces / name)
                 path = Path(folder) / f"{name}.json"
@@ -185,28 +186,28 @@
 
 
 def _wait_until_up(entry: Entry) -> None:
-    end_s = time.monotonic() + START_S
+    end_s = time.monotonic() + START_TIMEOUT_S
     while time.monotonic() < end_s:
         try:
             entry.look("status")
             return
         except OSError:
             time.sleep(0.05)
-    raise RuntimeError(f"{entry.name} did not start")
+    raise RuntimeError(f"timed out: {entry.name} did not respond after its start")
 
 
 def wait_for_workers(started: list[Entry], workers: int) -> None:
-    """Wait until the instances hold all workers."""
-    end_s = time.monotonic() + START_S
+    """Wait until the instances together are the deciders of all workers."""
+    end_s = time.monotonic() + START_TIMEOUT_S
     while time.monotonic() < end_s:
         held = sum(entry.look("status")["workers_held"] for entry in started)
         if held == workers:
             return
         time.sleep(0.1)
-    raise RuntimeError("not all workers have a decider")
+    raise RuntimeError("timed out: not all workers have a decider")
 
 
-def quiet() -> None:
-    """Give the machine a moment between measurements."""
+def pause_between_measurements() -> None:
+    """Flush pending disk writes and pause, to separate measurements."""
     os.sync()
     time.sleep(0.2)
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,8 +1,8 @@
 """
-Turn the measured data into the tables and the plot of docs/CAPACITY.md.
+Generate the tables and the plot of docs/CAPACITY.md from the measured data.
 
 ``python -m bench.report`` rewrites the part of the page between the markers;
-``--check`` only tells whether the page is what the data gives.
+``--check`` only verifies that the page matches the data.
 """
 
 import json
@@ -29,7 +29,7 @@
 
 
 @dataclass(frozen=True)
-class Line:
+class Fit:
     """A fitted line and the largest distance of a point from it."""
 
     base: float
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True)
 class Site:
-    """One data centre's size, and how its work is spread."""
+    """The size and load of one data centre."""
 
     name: str
     workers: int
@@ -58,17 +58,17 @@
 )
 
 
-def fit(points: list[dict[str, Any]], series: str, measure: str) -> Line:
+def fit(points: list[dict[str, Any]], series: str, measure: str) -> Fit:
     """Fit a line to one measure of one series."""
-    chosen = [p for p in points if p["series"] == series]
-    sizes = numpy.array([p["size"] for p in chosen], dtype=float)
-    values = numpy.array([p[measure] for p in chosen], dtype=float)
+    selected = [p for p in points if p["series"] == series]
+    sizes = numpy.array([p["size"] for p in selected], dtype=float)
+    values = numpy.array([p[measure] for p in selected], dtype=float)
     slope, base = numpy.polyfit(sizes, values, 1)
     residual = float(numpy.abs(values - (base + slope * sizes)).max())
-    return Line(float(base), float(slope), residual)
+    return Fit(float(base), float(slope), residual)
 
 
-def _fits(data: dict[str, Any]) -> dict[tuple[str, str], Line]:
+def _fit_all(data: dict[str, Any]) -> dict[tuple[str, str], Fit]:
     names = sorted({p["series"] for p in data["points"]})
     points = data["points"]
     return {(n, m): fit(points, n, m) for n in names for m in MEASURES}
@@ -90,7 +90,7 @@
     return lines
 
 
-def _slopes_table(fits: dict[tuple[str, str], Line]) -> list[str]:
+def _slopes_table(fits: dict[tuple[str, str], Fit]) -> list[str]:
     lines = [
         "",
         "### Slopes, for each one more (largest residual in brackets)",
@@ -128,18 +128,18 @@
     return lines
 
 
-def project(
-    site: Site, fits: dict[tuple[str, str], Line], rates: dict[str, float]
+def extrapolate(
+    site: Site, fits: dict[tuple[str, str], Fit], rates: dict[str, float]
 ) -> dict[str, float]:
-    """Return what one entry instance of a site uses, by measure."""
+    """Return the extrapolated usage of one entry instance of a site, by measure."""
     shares = {
         "workers": site.workers / site.instances,
         "attempts": site.attempts / site.instances,
         "instances": site.instances,
         "teams": site.teams,
     }
-    # Each series holds the others still: its base contains 30 workers, so the
-    # base is taken once, from the series of workers.
+    # Each series keeps the other dimensions constant. Its base contains 30 workers,
+    # so the base is counted only once, from the series of workers.
     used = {m: fits["workers", m].base for m in MEASURES}
     for name, share in shares.items():
         for measure in MEASURES:
@@ -149,12 +149,12 @@
     return used
 
 
-def _mark(value: float, limit: float) -> str:
+def _bold_if_over(value: float, limit: float) -> str:
     return f"{value:.1f}" if value <= limit else f"**{value:.1f}**"
 
 
 def _sites_table(
-    fits: dict[tuple[str, str], Line], rates: dict[str, float]
+    fits: dict[tuple[str, str], Fit], rates: dict[str, float]
 ) -> list[str]:
     lines = [
         "",
@@ -165,12 +165,12 @@
         "| --- | --- | --- | --- | --- | --- |",
     ]
     for site in SITES:
-        used = project(site, fits, rates)
+        used = extrapolate(site, fits, rates)
         lines.append(
-            f"| {site.name} | {_mark(used['memory_mb'], LIMIT_MEMORY_MB)} "
-            f"| {_mark(used['cpu_percent'], LIMIT_CPU_PERCENT)} "
+            f"| {site.name} | {_bold_if_over(used['memory_mb'], LIMIT_MEMORY_MB)} "
+            f"| {_bold_if_over(used['cpu_percent'], LIMIT_CPU_PERCENT)} "
             f"| {used['cpu_starts_percent']:.1f} "
-            f"| {_mark(used['bytes_per_s'] / 1000, LIMIT_KB_PER_S)} "
+            f"| {_bold_if_over(used['bytes_per_s'] / 1000, LIMIT_KB_PER_S)} "
             f"| {used['messages_per_s']:.0f} |"
         )
     return lines
@@ -178,7 +178,7 @@
 
 def tables(data: dict[str, Any]) -> str:
     """Return the generated part of the page."""
-    fits = _fits(data)
+    fits = _fit_all(data)
     rates = {rate["kind"]: rate["each_us"] for rate in data["rates"]}
     lines = _points_table(data) + _slopes_table(fits) + _rates_table(data)
     lines += _sites_table(fits, rates)
@@ -194,7 +194,7 @@
 
 
 def plot(data: dict[str, Any]) -> None:
-    """Draw the processor share and the traffic over each size."""
+    """Plot the CPU usage and the traffic over each size."""
     import matplotlib
 
     matplotlib.use("svg")
@@ -203,11 +203,11 @@
     names = sorted({p["series"] for p in data["points"]})
     figure, axes = pyplot.subplots(2, len(names), figsize=(3.2 * len(names), 5))
     for column, name in enumerate(names):
-        chosen = [p for p in data["points"] if p["series"] == name]
-        sizes = [p["size"] for p in chosen]
+        selected = [p for p in data["points"] if p["series"] == name]
+        sizes = [p["size"] for p in selected]
         for row, measure in enumerate(("cpu_percent", "bytes_per_s")):
             axis = axes[row][column]
-            axis.plot(sizes, [p[measure] for p in chosen], "o")
+            axis.plot(sizes, [p[measure] for p in selected], "o")
             line = fit(data["points"], name, measure)
             axis.plot(sizes, [line.base + line.slope * s for s in sizes], "-")
             axis.set_title(f"{measure} by {name}", fontsize=8)
@@ -222,7 +222,7 @@
     wanted = page_with(tables(data))
     if "--check" in sys.argv[1:]:
         if wanted != PAGE.read_text():
-            print("docs/CAPACITY.md is not what docs/capacity/data.json gives")
+            print("docs/CAPACITY.md does not match docs/capacity/data.json")
             return 1
         return 0
     PAGE.write_text(wanted)
--- a/bench/rest.py
+++ b/bench/rest.py
@@ -1,4 +1,4 @@
-"""Measure one data centre at rest: memory, processor share, traffic, start-up."""
+"""Measure an idle data centre: memory, CPU usage, traffic and start-up time."""
 
 import time
 
@@ -6,20 +6,20 @@
 
 WORKERS = 30
 INSTANCES = 3
-SPAN_S = 10.0
+MEASUREMENT_S = 10.0
 LIMITS = "limits: 64 MB, 2.5% of a core, 18 KB/s"
 
 
 def main() -> None:
-    """Print the figures of one entry instance of three, with 30 workers."""
-    with standins(WORKERS) as described:
+    """Print the usage of one entry instance of three, with 30 workers."""
+    with standins(WORKERS) as standin_addresses:
         begun_s = time.monotonic()
-        with entries(INSTANCES, described["platform"]) as started:
+        with entries(INSTANCES, standin_addresses["platform"]) as started:
             up_s = time.monotonic() - begun_s
             wait_for_workers(started, WORKERS)
             held_s = time.monotonic() - begun_s
             time.sleep(3.0)
-            usage = measure(started[0], SPAN_S)
+            usage = measure(started[0], MEASUREMENT_S)
     print(f"at rest: {WORKERS} workers, {INSTANCES} instances; {LIMITS}")
     print(f"  start-up: {up_s:.2f} s until all answer, {held_s:.2f} s until all held")
     print(f"  memory:   {usage.memory_mb:.1f} MB")
--- a/bench/spread.py
+++ b/bench/spread.py
@@ -1,8 +1,8 @@
 """
-Measure, in virtual time, how long a confirmed change takes to be in force.
+Measure, in virtual time, how long a confirmed change takes to apply everywhere.
 
-Real entry instances on fakes with the product's default timings: once with the
-log within everybody's reach, once with all but one instance cut off from it.
+Entry instances run on a fake platform with the default timings but for a call timeout
+of 1 s: once with the log reachable by all, once by one instance only.
 """
 
 import sys
@@ -20,15 +20,17 @@
 CHANGES = 20
 
 
-def _spread(instances: int, cut: bool) -> tuple[list[float], float]:
-    """Return each change's time until all have it, and peer messages a second."""
+def _measure_propagation(
+    instances: int, log_cut_off: bool
+) -> tuple[list[float], float]:
+    """Return each change's time until applied everywhere, and peer messages/s each."""
     scene = Scene(instances, workers=4, timing={"call_timeout_s": 1.0})
     scene.start_all()
     scene.pass_s(3.0)
-    if cut:
+    if log_cut_off:
         for name in scene.names[1:]:
             scene.network.cut_both(name, "log")
-    sent_before = _sent(scene)
+    sent_before = _peer_messages_sent(scene)
     begun_s = scene.loop.time()
     spans = []
     for number in range(CHANGES):
@@ -37,33 +39,37 @@
         status, verdict = scene.confirm("e0", plan)
         assert status == 200, verdict
         offset = verdict["offset"]
-        everywhere = _reached(scene, offset)
-        assert scene.until(everywhere)
+        applied_everywhere = _applied_everywhere(scene, offset)
+        assert scene.until(applied_everywhere)
         spans.append(scene.loop.time() - confirmed_s)
         scene.pass_s(0.37)
-    rate = (_sent(scene) - sent_before) / (scene.loop.time() - begun_s) / instances
+    rate = (
+        (_peer_messages_sent(scene) - sent_before)
+        / (scene.loop.time() - begun_s)
+        / instances
+    )
     scene.close()
     return spans, rate
 
 
-def _reached(scene: Scene, offset: int):  # type: ignore[no-untyped-def]
+def _applied_everywhere(scene: Scene, offset: int):  # type: ignore[no-untyped-def]
     contexts = [instance.context for instance in scene.instances.values()]
     return lambda: all(c.configuration.offset >= offset for c in contexts)
 
 
-def _sent(scene: Scene) -> int:
+def _peer_messages_sent(scene: Scene) -> int:
     return sum(i.peers.traffic.sent for i in scene.instances.values())
 
 
 def main() -> None:
-    """Print percentiles from the confirmation until every instance has it."""
+    """Print the times from confirmation until applied by every instance."""
     print("from confirmation until in force everywhere, s (limit 3)")
     print("instances  log in reach of   p50   max   peer messages/s each")
     for instances in (3, 8, 24):
-        for cut in (False, True):
-            spans, rate = _spread(instances, cut)
+        for log_cut_off in (False, True):
+            spans, rate = _measure_propagation(instances, log_cut_off)
             p50 = numpy.percentile(spans, 50)
-            reach = "one" if cut else "all"
+            reach = "one" if log_cut_off else "all"
             print(
                 f"{instances:9}  {reach:15}  {p50:5.2f} {max(spans):5.2f}   {rate:6.1f}"
             )
--- a/bench/takeover.py
+++ b/bench/takeover.py
@@ -1,9 +1,9 @@
 """
-Measure, in virtual time, how long workers go without a decider.
+Measure, in virtual time, how long workers have no decider after a crash.
 
-Real entry instances on fakes: an instance dies at a random moment, and the
-span until every one of its workers has a new epoch is taken. Also the span
-until its jobs have a successor, and the log's appends.
+Entry instances run on a fake platform. One of them crashes at a random time.
+Measured are the time until each of its workers has a new epoch, and the time
+until its jobs have a successor.
 """
 
 import random
@@ -19,37 +19,39 @@
 RUNS = 200
 
 
-def _one(seed: int, instances: int, workers: int) -> tuple[float, float]:
-    """Return seconds until all workers, and until all jobs, are taken over."""
+def _measure_takeover(seed: int, instances: int, workers: int) -> tuple[float, float]:
+    """Return the seconds until all workers and until all jobs are taken over."""
     scene = Scene(instances, workers, seed=seed)
     scene.start_all()
-    victim = max(scene.names, key=lambda n: len(scene.control(n).fleet.held()))
-    scene.submit(victim, "job", tasks=workers, run_s=60.0)
+    killed = max(scene.names, key=lambda n: len(scene.control(n).fleet.held()))
+    scene.submit(killed, "job", tasks=workers, run_s=60.0)
     scene.pass_s(random.Random(seed).uniform(1.0, 3.0))
-    scene.kill(victim)
+    scene.kill(killed)
     begun_s = scene.loop.time()
 
     def held() -> bool:
         return scene.held() == workers
 
-    def succeeded() -> bool:
+    def jobs_taken_over() -> bool:
         tables = [i.control.jobs.table for i in scene.instances.values()]
-        return all(not t.jobs["job"].owner.startswith(f"{victim}~") for t in tables)
+        return all(not t.jobs["job"].owner.startswith(f"{killed}~") for t in tables)
 
     assert scene.until(held)
     held_s = scene.loop.time() - begun_s
-    assert scene.until(succeeded)
-    succeeded_s = scene.loop.time() - begun_s
+    assert scene.until(jobs_taken_over)
+    jobs_taken_over_s = scene.loop.time() - begun_s
     scene.close()
-    return held_s, succeeded_s
+    return held_s, jobs_taken_over_s
 
 
 def main() -> None:
-    """Print percentiles for several sizes."""
+    """Print the percentiles for several sizes."""
     print(f"an instance dies; suspicion after {TIMING['suspect_after_s']} s")
     print("instances workers runs | decider p50 p99 max s | owner p50 p99 max s")
     for instances, workers, runs in ((3, 10, RUNS), (8, 30, 20), (3, 100, 20)):
-        spans = numpy.array([_one(s, instances, workers) for s in range(runs)])
+        spans = numpy.array(
+            [_measure_takeover(s, instances, workers) for s in range(runs)]
+        )
         cells = []
         for column in (0, 1):
             values = spans[:, column]
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -6,7 +6,7 @@
 from steps.trace_steps import LINES
 from support.cell_player import BATCH, prepared, step
 
-from hornbeampaddle_cli.losses import OWN_STAGES, losses
+from hornbeampaddle_cli.losses import WORK_STAGES, losses
 from hornbeampaddle_cli.story import parse
 
 JOB = "00000000000000aa"
@@ -143,7 +143,7 @@
     assert result.late == {"batch": 1}, result.late
     shares = sum(row.jobs for row in result.rows)
     assert round(shares, 6) == 1.0, shares
-    assert not [r for r in result.rows if r.stage in OWN_STAGES and r.jobs]
+    assert not [r for r in result.rows if r.stage in WORK_STAGES and r.jobs]
 
 
 @then("no job is late and no stage costs anything")
--- a/features/steps/trace_steps.py
+++ b/features/steps/trace_steps.py
@@ -12,7 +12,7 @@
 
 from hornbeampaddle_cell import logs
 from hornbeampaddle_cli.budget import budget
-from hornbeampaddle_cli.story import one_line, parse, tell
+from hornbeampaddle_cli.story import build_story, format_line, parse
 
 # Loggers keep the writer that they met first, so all scenarios share one.
 LINES = []
@@ -41,10 +41,10 @@
 def story_says(context, name, text):
     # Out of order and with a prefix, as collectors deliver them.
     texts = [f"  1.25 node-1 {line}" for line in reversed(LINES)]
-    story = tell(parse(texts), name.rjust(16, "0"))
+    story = build_story(parse(texts), name.rjust(16, "0"))
     assert text in story.cause, story.cause
     for line in story.lines:
-        assert one_line(line, 0.0)
+        assert format_line(line, 0.0)
 
 
 @given("a log with nothing but the end of a job that failed: {why}")
--- a/model/__init__.py
+++ b/model/__init__.py
@@ -1,1 +1,1 @@
-"""Check small specifications of the core protocol, guard by guard."""
+"""Model checking of the core protocol, with each guard removed in turn."""
--- a/model/cell.py
+++ b/model/cell.py
@@ -1,66 +1,68 @@
 """
-Specify how a task passes from one holder of a cell to the next.
+Specification of how a task passes from one holder of a cell to the next.
 
-The log, the first holder, its successor, the worker that the first holder chose and
-another worker take steps in any order. Orders stay on their way for as long as the
-checker likes; the successor may or may not reach the first worker. Time is counted in
-ticks of a clock that all share, but for the margins that the product adds for clocks
-that run slow.
+The log, the first holder, its successor, the worker that the first holder selected and
+another worker take steps in any order. Orders stay in transit for any length of time;
+the successor may or may not reach the first worker. Time is counted in ticks of a
+shared clock; the margins that the implementation adds for slow clocks are left out.
 """
 
 from dataclasses import dataclass, replace
 
 from minicheck import Protocol
 
-# A lease that is granted now, how long a holder may give orders after its last stored
-# record, and after how much silence another may claim: longer than that.
-LEASE = 4
-LAPSE = 1
-CLAIM = 2
-# The successor counts leases from its fence, and some ticks more than one.
-WAIT = LEASE + 1
+# Duration of a newly granted lease.
+LEASE_TICKS = 4
+# How long a holder may send orders after its last stored record.
+HOLDER_LAPSE_TICKS = 1
+# Silence of the holder after which a successor may claim the cell. It is longer than
+# HOLDER_LAPSE_TICKS, so that the holder has stopped sending orders by then.
+CLAIM_AFTER_TICKS = 2
+# How long the successor waits for inherited leases, counted from its fence: more than
+# one lease.
+SUCCESSOR_WAIT_TICKS = LEASE_TICKS + 1
 
 NOTHING = 0
-# What the log says of the task.
+# Record of the task in the log; NOTHING means none.
 STARTED = 1
 DONE = 2
-# What the first worker lists of its end.
+# The end of the run as the first worker lists it; NOTHING means no end.
 LISTED = 1
 FORGOTTEN = 2
-# How far the successor is.
+# Phase of the successor.
 CLAIMED = 1
 FENCED = 2
 HOLDS = 3
-# What the first worker told the successor.
+# Answer of the first worker to the successor; NOTHING means none yet.
 SAW_RUN = 1
 SAW_END = 2
 SAW_NOTHING = 3
 
 FIELDS = (
-    "epoch",  # the highest that the log has taken
-    "record",  # of the task, in the log
-    "silence",  # ticks since the first holder stored something
-    "lapse_left",  # ticks in which the first holder may give orders
-    "first_sent",  # it has sent the start
-    "first_saw_end",  # it has seen the end
-    "order",  # the start is on its way
+    "epoch",  # highest epoch that the log has accepted
+    "record",  # the task's record in the log
+    "silence",  # ticks since the first holder last stored a record
+    "lapse_left",  # ticks left in which the first holder may send orders
+    "first_sent",  # the first holder has sent the start
+    "first_saw_end",  # the first holder has seen the end
+    "order",  # the start is in transit
     "order_left",  # ticks until that order's deadline
-    "token",  # the highest that the first worker has seen
+    "token",  # highest token that the first worker has seen
     "running",  # the first worker runs the task
-    "lease_left",  # ticks of that run's lease
-    "end",  # what the first worker lists of the end
-    "next_phase",  # how far the successor is
-    "next_read",  # the record as the successor read it
-    "next_saw",  # what the first worker told the successor
-    "next_wait",  # ticks until every inherited lease has passed
-    "running_there",  # the other worker runs the task, for the successor
+    "lease_left",  # ticks left of that run's lease
+    "end",  # the end of the run as the first worker lists it
+    "next_phase",  # phase of the successor
+    "next_read",  # the task's record as the successor read it
+    "next_saw",  # the first worker's answer to the successor
+    "next_wait",  # ticks until every inherited lease has expired
+    "running_there",  # the other worker runs the task for the successor
     "acknowledged",  # the end was acknowledged to the worker
 )
 
 
 @dataclass(frozen=True)
 class Guards:
-    """The guards of the protocol; all are set in the product."""
+    """The guards of the protocol; the implementation has all of them."""
 
     record_before_start: bool = True
     holder_lapses: bool = True
@@ -73,12 +75,12 @@
 
 @dataclass(frozen=True)
 class State:
-    """One state, by field."""
+    """A state of the model."""
 
     epoch: int = 1
     record: int = NOTHING
     silence: int = 0
-    lapse_left: int = LAPSE
+    lapse_left: int = HOLDER_LAPSE_TICKS
     first_sent: int = 0
     first_saw_end: int = 0
     order: int = 0
@@ -95,37 +97,37 @@
     acknowledged: int = 0
 
     def values(self) -> tuple[int, ...]:
-        """Return the state as the checker keeps it."""
+        """Return the state as the tuple that the checker uses."""
         return tuple(getattr(self, name) for name in FIELDS)
 
 
 Steps = list[tuple[str, State]]
 
 
-def _down(left: int) -> int:
+def _count_down(left: int) -> int:
     return max(0, left - 1)
 
 
-def _time(s: State) -> Steps:
+def _tick(s: State) -> Steps:
     lapsed = s.running and s.lease_left <= 1
     after = replace(
         s,
-        silence=min(CLAIM, s.silence + 1),
-        lapse_left=_down(s.lapse_left),
-        order_left=_down(s.order_left),
-        lease_left=_down(s.lease_left),
+        silence=min(CLAIM_AFTER_TICKS, s.silence + 1),
+        lapse_left=_count_down(s.lapse_left),
+        order_left=_count_down(s.order_left),
+        lease_left=_count_down(s.lease_left),
         running=0 if lapsed else s.running,
-        next_wait=_down(s.next_wait),
+        next_wait=_count_down(s.next_wait),
     )
     return [("tick", after)]
 
 
 def _stored(s: State, record: int) -> State:
-    """Return the state after the first holder stored a record: a sign of life."""
-    return replace(s, record=record, silence=0, lapse_left=LAPSE)
+    """Return the state after the first holder stored a record, which ends silence."""
+    return replace(s, record=record, silence=0, lapse_left=HOLDER_LAPSE_TICKS)
 
 
-def _first(s: State, guards: Guards) -> Steps:
+def _first_holder(s: State, guards: Guards) -> Steps:
     steps: Steps = []
     stores = s.epoch == 1
     orders = s.lapse_left > 0 or not guards.holder_lapses
@@ -133,10 +135,10 @@
         steps.append(("first stores the start", _stored(s, STARTED)))
     recorded = s.record == STARTED or not guards.record_before_start
     if recorded and not s.first_sent and orders and s.record != DONE:
-        sent = replace(s, first_sent=1, order=1, order_left=LEASE)
+        sent = replace(s, first_sent=1, order=1, order_left=LEASE_TICKS)
         steps.append(("first sends the start", sent))
     if s.running and orders and s.token == 1:
-        steps.append(("first renews", replace(s, lease_left=LEASE)))
+        steps.append(("first renews", replace(s, lease_left=LEASE_TICKS)))
     if s.end == LISTED and s.token == 1 and not s.first_saw_end:
         steps.append(("first sees the end", replace(s, first_saw_end=1)))
     if s.first_saw_end and stores and s.record == STARTED:
@@ -162,27 +164,31 @@
     return steps
 
 
-def _next(s: State, guards: Guards) -> Steps:
+def _successor(s: State, guards: Guards) -> Steps:
     steps: Steps = []
-    if not s.next_phase and s.silence >= CLAIM:
+    if not s.next_phase and s.silence >= CLAIM_AFTER_TICKS:
         steps.append(("next claims", replace(s, next_phase=CLAIMED)))
     if s.next_phase == CLAIMED:
-        fenced = replace(s, epoch=2, next_phase=FENCED, next_wait=WAIT)
+        fenced = replace(s, epoch=2, next_phase=FENCED, next_wait=SUCCESSOR_WAIT_TICKS)
         steps.append(("next fences", fenced))
         if not guards.fence_before_read:
-            read = replace(s, next_phase=HOLDS, next_read=s.record, next_wait=WAIT)
+            read = replace(
+                s, next_phase=HOLDS, next_read=s.record, next_wait=SUCCESSOR_WAIT_TICKS
+            )
             steps.append(("next reads the log", read))
     if s.next_phase == FENCED:
         read = replace(s, next_phase=HOLDS, next_read=s.record)
         steps.append(("next reads the log", read))
     if s.next_phase >= FENCED and s.next_saw in (NOTHING, SAW_RUN):
-        steps.append(("next asks the worker", replace(s, token=2, next_saw=_seen(s))))
+        steps.append(
+            ("next asks the worker", replace(s, token=2, next_saw=_worker_answer(s)))
+        )
     if s.next_phase == HOLDS and _may_start(s, guards):
         steps.append(("next starts elsewhere", replace(s, running_there=1)))
     return steps
 
 
-def _seen(s: State) -> int:
+def _worker_answer(s: State) -> int:
     if s.running:
         return SAW_RUN
     return SAW_END if s.end == LISTED else SAW_NOTHING
@@ -197,15 +203,15 @@
 
 
 def protocol(guards: Guards) -> Protocol:
-    """Return the specification with some guards, for the checker."""
+    """Return the specification under the given guards, for the checker."""
 
     def transitions(values: tuple[int, ...]) -> list[tuple[str, tuple[int, ...]]]:
         s = State(*values)
         steps = [
-            *_time(s),
-            *_first(s, guards),
+            *_tick(s),
+            *_first_holder(s, guards),
             *_worker(s, guards),
-            *_next(s, guards),
+            *_successor(s, guards),
         ]
         return [(label, after.values()) for label, after in steps]
 
--- a/model/check.py
+++ b/model/check.py
@@ -1,4 +1,4 @@
-"""Run the checker over each specification, whole and with each guard removed."""
+"""Check each specification with all guards and with each guard removed."""
 
 import sys
 from dataclasses import dataclass, fields
@@ -16,10 +16,10 @@
 @dataclass(frozen=True)
 class Finding:
     """
-    What the checker says of one specification with one guard removed.
+    The checker's result for one specification, with at most one guard removed.
 
-    ``broken`` names the promises that no longer hold, ``steps`` the length of
-    the shortest counterexample and ``trace`` its labels.
+    ``broken`` names the violated invariants, ``steps`` is the length of the shortest
+    counterexample and ``trace`` its labels.
     """
 
     specification: str
@@ -31,7 +31,7 @@
 
 
 def check(module: ModuleType, removed: str = "") -> Finding:
-    """Check one specification; raise if the search did not finish."""
+    """Check one specification; raise if the search is incomplete."""
     guards = module.Guards(**({removed: False} if removed else {}))
     report = check_safety(module.protocol(guards), max_states=MAX_STATES)
     broken = {
@@ -55,7 +55,7 @@
 
 
 def findings() -> list[Finding]:
-    """Check every specification whole and with each guard removed."""
+    """Check every specification with all guards and with each guard removed."""
     found = []
     for module in SPECIFICATIONS:
         found.append(check(module))
@@ -79,7 +79,7 @@
 
 
 def main() -> int:
-    """Print the table, and the shortest trace for each guard."""
+    """Print the table and each guard's shortest trace; return the exit code."""
     found = findings()
     print(table(found))
     for f in found:
@@ -87,11 +87,11 @@
             print(f"\n{f.specification} without {f.removed}: " + ", ".join(f.trace))
     if len(sys.argv) > 1:
         Path(sys.argv[1]).write_text(table(found) + "\n")
-    return 0 if good(found) else 1
+    return 0 if matches_expectations(found) else 1
 
 
-def good(found: list[Finding]) -> bool:
-    """Tell whether all holds with every guard and breaks without any one."""
+def matches_expectations(found: list[Finding]) -> bool:
+    """Return whether invariants hold with all guards and fail without any one guard."""
     return all(bool(f.broken) == bool(f.removed) for f in found)
 
 
--- a/model/crashes.py
+++ b/model/crashes.py
@@ -1,48 +1,49 @@
 """
-Specify how a task that crashes its workers is given up, whoever holds the cell.
+Specification of how a task that crashes its workers is given up, across holders.
 
 The holder, its successors, the log and the workers take steps in any order. A holder
-may die at any moment, and as often as the checker likes; what it knows is gone then,
-and what it has stored is not. Each worker that is sent the task crashes as it starts.
+may crash at any time and any number of times; its memory is then lost, its stored
+records are not. Each worker that receives the task crashes as it starts it.
 """
 
 from dataclasses import dataclass, replace
 
 from minicheck import Protocol
 
-# A task is given up after so many losses, and may be started so often after the third.
+# Losses after which a task is given up.
 LOSSES_MAX = 4
+# Losses after which the number of further starts is bounded, and that bound.
 LOSSES_BEFORE_BOUND = 3
-STARTS_AFTER = 2
-# The checker follows one start beyond the bound: that is enough to break it.
-STARTS_FOLLOWED = LOSSES_BEFORE_BOUND + STARTS_AFTER + 1
+STARTS_AFTER_BOUND_MAX = 2
+# The checker explores one start beyond the bound, which is enough to violate it.
+STARTS_EXPLORED_MAX = LOSSES_BEFORE_BOUND + STARTS_AFTER_BOUND_MAX + 1
 
-# How far the newest run is, as the holder knows it.
+# Phase of the newest run as the holder knows it.
 WAITING = 0
 STORED = 1
 SENT = 2
-# What became of the newest run's worker.
+# State of the newest run's worker.
 ALIVE = 0
 CRASHED = 1
 
 FIELDS = (
-    "log_run",  # the newest run that is stored
-    "log_losses",  # the losses that are stored
-    "log_given_up",  # the job's end is stored
+    "log_run",  # number of the newest stored run
+    "log_losses",  # number of stored losses
+    "log_given_up",  # the job's end, as given up, is stored
     "holding",  # an instance holds the cell
-    "losses",  # what it counts
-    "phase",  # how far the newest run is, to it
-    "heard_run",  # the last run whose loss it has counted
-    "in_flight",  # the newest run's start is on its way
-    "worker",  # what became of the newest run's worker
-    "starts",  # how often a worker has begun the task
-    "unstored",  # losses that are counted and not stored yet, without that guard
+    "losses",  # losses as the holder counts them
+    "phase",  # phase of the newest run as the holder knows it
+    "heard_run",  # the last run whose loss the holder has counted
+    "in_flight",  # the newest run's start is in transit
+    "worker",  # state of the newest run's worker
+    "starts",  # number of times that a worker has started the task
+    "unstored",  # losses are counted but not stored, without stored_with_next_start
 )
 
 
 @dataclass(frozen=True)
 class Guards:
-    """The guards of the protocol; all are set in the product."""
+    """The guards of the protocol; the implementation has all of them."""
 
     stored_with_next_start: bool = True
     successor_counts_vanished: bool = True
@@ -52,7 +53,7 @@
 
 @dataclass(frozen=True)
 class State:
-    """One state, by field."""
+    """A state of the model."""
 
     log_run: int = 0
     log_losses: int = 0
@@ -67,7 +68,7 @@
     unstored: int = 0
 
     def values(self) -> tuple[int, ...]:
-        """Return the state as the checker keeps it."""
+        """Return the state as the tuple that the checker uses."""
         return tuple(getattr(self, name) for name in FIELDS)
 
 
@@ -83,7 +84,7 @@
     if s.phase == STORED:
         steps.append(("start is sent", replace(s, phase=SENT, in_flight=1)))
     if s.phase == SENT and s.worker == CRASHED:
-        steps.append(("loss is heard", _heard(s)))
+        steps.append(("loss is heard", _count_loss(s)))
     repeated = not guards.counted_by_run and s.heard_run == s.log_run
     if s.phase == WAITING and s.log_run and repeated and s.losses < LOSSES_MAX:
         steps.append(("loss is heard again", replace(s, losses=s.losses + 1)))
@@ -104,7 +105,7 @@
     return "run is stored", run
 
 
-def _heard(s: State) -> State:
+def _count_loss(s: State) -> State:
     return replace(s, phase=WAITING, losses=s.losses + 1, heard_run=s.log_run)
 
 
@@ -119,8 +120,8 @@
     if s.holding:
         gone = replace(s, holding=0, losses=0, heard_run=0, phase=WAITING, unstored=0)
         return [("holder dies", gone)] if not s.log_given_up else []
-    # The successor's token refuses what is still on its way. It asks the worker of the
-    # newest run, or finds that it is no longer listed.
+    # The successor's token makes workers refuse a start that is still in transit. The
+    # successor asks the worker of the newest run, or finds that it is not listed.
     taken = replace(s, holding=1, losses=s.log_losses, in_flight=0)
     if s.worker == CRASHED and guards.successor_counts_vanished:
         taken = replace(taken, losses=s.log_losses + 1, heard_run=s.log_run)
@@ -128,11 +129,11 @@
 
 
 def protocol(guards: Guards) -> Protocol:
-    """Return the specification with some guards, for the checker."""
+    """Return the specification under the given guards, for the checker."""
 
     def transitions(values: tuple[int, ...]) -> list[tuple[str, tuple[int, ...]]]:
         s = State(*values)
-        if s.starts >= STARTS_FOLLOWED or s.log_run > STARTS_FOLLOWED:
+        if s.starts >= STARTS_EXPLORED_MAX or s.log_run > STARTS_EXPLORED_MAX:
             return []
         steps = [*_holder(s, guards), *_worker(s), *_succession(s, guards)]
         return [(label, after.values()) for label, after in steps]
@@ -145,7 +146,7 @@
         transitions=transitions,
         invariants={
             "few starts after the third loss": lambda d: (
-                d["starts"] <= LOSSES_BEFORE_BOUND + STARTS_AFTER
+                d["starts"] <= LOSSES_BEFORE_BOUND + STARTS_AFTER_BOUND_MAX
             ),
             "no job is given up for fewer losses": lambda d: (
                 not d["log_given_up"] or d["starts"] >= LOSSES_MAX
--- a/model/slots.py
+++ b/model/slots.py
@@ -1,41 +1,42 @@
 """
-Specify how a worker's one slot passes between deciders and borrowers.
+Specification of how a worker's only slot passes between deciders and borrowers.
 
-The worker does not count: it runs whatever carries its epoch. Requests stay on
-their way for as long as the checker likes. The promise is that it never runs
-two at once; it rests on the accounting alone.
+The worker does not count requests: it runs every request that carries its epoch.
+Requests stay in transit for any length of time. The invariant is that the worker never
+runs two at once; only the deciders' and borrowers' accounting ensures it.
 """
 
 from dataclasses import dataclass, replace
 
 from minicheck import Protocol
 
-GRANT = 2
-REQUEST = 3
-# One more than the worker holds is enough to break the promise.
-RUNNING_MAX = 2
+# Duration of a loan of the slot, and time until a request's deadline.
+LOAN_TICKS = 2
+REQUEST_TICKS = 3
+# One more than the capacity is enough to violate the invariant.
+RUNNING_EXPLORED_MAX = 2
 
 FIELDS = (
-    "epoch",  # the worker's
+    "epoch",  # the worker's epoch
     "old_used",  # the old decider counts its slot as used by itself
-    "old_lent",  # or as lent
-    "old_loan_left",  # ticks until the old decider's loan is past
-    "borrower_left",  # ticks for which the borrower may begin
-    "borrower_has",  # the borrower holds the loan, idle
-    "flight_one",  # request on its way, by the old decider: 1, borrower: 2
+    "old_lent",  # the old decider counts its slot as lent
+    "old_loan_left",  # ticks until the old decider's loan expires
+    "borrower_left",  # ticks left in which the borrower may send a request
+    "borrower_has",  # the borrower holds the loan and has not used it
+    "flight_one",  # request in transit: 1 from the old decider, 2 from the borrower
     "flight_left",  # ticks left of that request's own deadline
     "running_old",  # requests running under epoch 1
     "run_left",  # ticks left until the old request's deadline
-    "new_foreign",  # what the new decider counts as still running
+    "new_foreign",  # old requests that the new decider counts as running
     "new_used",  # the new decider uses the slot
     "running_new",  # requests running under epoch 2
-    "grace",  # ticks the old decider has counted since the loan went past
+    "grace",  # ticks that the old decider has counted since the loan expired
 )
 
 
 @dataclass(frozen=True)
 class Guards:
-    """The guards of the protocol; all are set in the product."""
+    """The guards of the protocol; the implementation has all of them."""
 
     stale_epoch_refused: bool = True
     doubt_counts_as_used: bool = True
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True)
 class State:
-    """One state, by field."""
+    """A state of the model."""
 
     epoch: int = 1
     old_used: int = 0
@@ -63,44 +64,49 @@
     grace: int = 0
 
     def values(self) -> tuple[int, ...]:
-        """Return the state as the checker keeps it."""
+        """Return the state as the tuple that the checker uses."""
         return tuple(getattr(self, name) for name in FIELDS)
 
 
 Steps = list[tuple[str, State]]
 
 
-def _down(left: int) -> int:
+def _count_down(left: int) -> int:
     return max(0, left - 1)
 
 
-def _time(s: State) -> Steps:
+def _tick(s: State) -> Steps:
     after = replace(
         s,
-        old_loan_left=_down(s.old_loan_left),
-        borrower_left=_down(s.borrower_left),
-        flight_left=_down(s.flight_left),
-        run_left=_down(s.run_left),
+        old_loan_left=_count_down(s.old_loan_left),
+        borrower_left=_count_down(s.borrower_left),
+        flight_left=_count_down(s.flight_left),
+        run_left=_count_down(s.run_left),
         running_old=s.running_old if s.run_left > 1 else 0,
     )
     return [("tick", after)]
 
 
-def _old(s: State, guards: Guards) -> Steps:
+def _old_decider(s: State, guards: Guards) -> Steps:
     steps: Steps = []
     free = not s.old_used and not s.old_lent
     if free and s.epoch == 1:
-        own = replace(s, old_used=1, flight_one=1, flight_left=REQUEST)
+        own = replace(s, old_used=1, flight_one=1, flight_left=REQUEST_TICKS)
         if not s.flight_one:
             steps.append(("decider sends", own))
         lent = replace(
-            s, old_lent=1, old_loan_left=GRANT, borrower_left=GRANT, borrower_has=1
+            s,
+            old_lent=1,
+            old_loan_left=LOAN_TICKS,
+            borrower_left=LOAN_TICKS,
+            borrower_has=1,
         )
         steps.append(("decider lends", lent))
     past = s.old_lent and s.old_loan_left == 0
     idle = s.running_old == 0
-    # The report is asked for after the loan is past; what the borrower began in
-    # time has reached the worker or its deadline by then (see ``flight_left``).
+    # The report is requested after the loan expires. By then, a request that the
+    # borrower sent in time has reached the worker or its deadline (see
+    # ``flight_left``).
     settled = idle and s.flight_left == 0 if guards.loan_settled_by_report else True
     if past and settled and s.epoch == 1:
         steps.append(("loan is taken back", replace(s, old_lent=0)))
@@ -112,7 +118,7 @@
 def _borrower(s: State, guards: Guards) -> Steps:
     in_time = s.borrower_left > 0 or not guards.borrower_checks_deadline
     if s.borrower_has and in_time and not s.flight_one:
-        sent = replace(s, borrower_has=0, flight_one=2, flight_left=REQUEST)
+        sent = replace(s, borrower_has=0, flight_one=2, flight_left=REQUEST_TICKS)
         return [("borrower sends", sent)]
     return []
 
@@ -122,7 +128,7 @@
         return []
     steps: Steps = [("request is lost", replace(s, flight_one=0, flight_left=0))]
     fenced = s.epoch > 1 and guards.stale_epoch_refused
-    if not fenced and s.flight_left > 0 and s.running_old < RUNNING_MAX:
+    if not fenced and s.flight_left > 0 and s.running_old < RUNNING_EXPLORED_MAX:
         begun = replace(
             s,
             flight_one=0,
@@ -134,7 +140,7 @@
     return steps
 
 
-def _new(s: State, guards: Guards) -> Steps:
+def _new_decider(s: State, guards: Guards) -> Steps:
     steps: Steps = []
     if s.epoch == 1:
         foreign = s.running_old if guards.doubt_counts_as_used else 0
@@ -149,16 +155,16 @@
 
 
 def protocol(guards: Guards) -> Protocol:
-    """Return the specification with some guards, for the checker."""
+    """Return the specification under the given guards, for the checker."""
 
     def transitions(values: tuple[int, ...]) -> list[tuple[str, tuple[int, ...]]]:
         s = State(*values)
         steps = [
-            *_time(s),
-            *_old(s, guards),
+            *_tick(s),
+            *_old_decider(s, guards),
             *_borrower(s, guards),
             *_worker(s, guards),
-            *_new(s, guards),
+            *_new_decider(s, guards),
         ]
         return [(label, after.values()) for label, after in steps]
 
--- a/model/takeover.py
+++ b/model/takeover.py
@@ -1,52 +1,55 @@
 """
-Specify how a task passes from an owner to its successor.
+Specification of how a task passes from an owner to its successor.
 
-One task, two workers. The old owner starts it on the first worker by way of
-that worker's decider; the successor may start it on the second. Messages stay
-on their way for as long as the checker likes. Time passes in ticks that count
-every deadline down at the same rate; that clocks differ in rate is left to
-``hornbeampaddle.clocks``, which shortens each deadline by the largest error.
+There are one task and two workers. The old owner starts the task on the first worker
+through that worker's decider; the successor may start it on the second. Messages stay
+in transit for any length of time. Time passes in ticks that count all deadlines down
+at the same rate. Clock rate differences are left to ``hornbeampaddle.clocks``, which
+shortens each deadline by the largest error.
 
-Each guard of the protocol can be removed, and the checker must then find the
-promise that it keeps broken.
+Each guard of the protocol can be removed; the checker must then find a violation of
+the invariant that the guard protects.
 """
 
 from dataclasses import dataclass, replace
 
 from minicheck import Protocol
 
-AUTHORITY = 2
-LEASE = 2
+# Duration of an owner's authority, and of a task's lease.
+AUTHORITY_TICKS = 2
+LEASE_TICKS = 2
 
+# State of the task on a worker.
 NOTHING, RUNNING, FINISHED = 0, 1, 2
+# Phase of the successor.
 IDLE, WAITING, ASKING, STARTED, SETTLED = 0, 1, 2, 3, 4
 
 FIELDS = (
-    "succession",  # the log holds the succession
-    "owner_left",  # ticks of authority that the old owner still has
-    "order_left",  # order on its way to the decider: ticks it is valid; -1 none
-    "start_epoch",  # start on its way to the worker: its epoch; 0 none
-    "start_left",  # ticks left of the lease that the start asks for
-    "decider_left",  # ticks of the old owner's authority that the decider knows
-    "decider_holds",  # the old decider's allocation table has the attempt
+    "succession",  # the log contains the succession
+    "owner_left",  # ticks left of the old owner's authority
+    "order_left",  # ticks left of the order in transit to the decider; -1 none
+    "start_epoch",  # epoch of the start in transit to the worker; 0 none
+    "start_left",  # ticks left of the lease that the start requests
+    "decider_left",  # ticks left of the old owner's authority as known to the decider
+    "decider_holds",  # the old decider's allocation table contains the attempt
     "epoch",  # the first worker's epoch: 1 old decider, 2 successor's
-    "first",  # what the first worker does for the task
-    "lease_left",  # ticks left of the attempt's lease there
+    "first",  # state of the task on the first worker
+    "lease_left",  # ticks left of the attempt's lease on the first worker
     "known",  # the first worker still lists the finished attempt
-    "durable",  # the log holds the task's end
-    "listed",  # the instance list names the first worker
-    "phase",  # the successor's
-    "wait_left",  # ticks until the old owner has certainly stopped
-    "over_left",  # ticks until all its leases are certainly over
-    "inventory",  # 0 none, 1 nothing there, 2 runs, 3 finished
-    "second",  # what the second worker does for the task
+    "durable",  # the log contains the task's end
+    "listed",  # the instance list contains the first worker
+    "phase",  # phase of the successor
+    "wait_left",  # ticks until the old owner is certain to have stopped
+    "over_left",  # ticks until all its leases are certain to have expired
+    "inventory",  # the first worker's: 0 none yet, 1 no attempt, 2 running, 3 finished
+    "second",  # state of the task on the second worker
     "again",  # the task was started after it had finished
 )
 
 
 @dataclass(frozen=True)
 class Guards:
-    """The guards of the protocol; all are set in the product."""
+    """The guards of the protocol; the implementation has all of them."""
 
     order_deadline: bool = True
     successor_waits: bool = True
@@ -65,14 +68,14 @@
 
 @dataclass(frozen=True)
 class State:
-    """One state, by field."""
+    """A state of the model."""
 
     succession: int = 0
-    owner_left: int = AUTHORITY
+    owner_left: int = AUTHORITY_TICKS
     order_left: int = -1
     start_epoch: int = 0
     start_left: int = 0
-    decider_left: int = AUTHORITY
+    decider_left: int = AUTHORITY_TICKS
     decider_holds: int = 0
     epoch: int = 1
     first: int = NOTHING
@@ -88,32 +91,32 @@
     again: int = 0
 
     def values(self) -> tuple[int, ...]:
-        """Return the state as the checker keeps it."""
+        """Return the state as the tuple that the checker uses."""
         return tuple(getattr(self, name) for name in FIELDS)
 
 
 Steps = list[tuple[str, State]]
 
 
-def _down(left: int) -> int:
+def _count_down(left: int) -> int:
     return max(0, left - 1)
 
 
-def _time(s: State, guards: Guards) -> Steps:
-    lease_left = _down(s.lease_left)
+def _tick(s: State, guards: Guards) -> Steps:
+    lease_left = _count_down(s.lease_left)
     first = s.first
     if first == RUNNING and lease_left == 0:
         first = NOTHING
     after = replace(
         s,
-        owner_left=_down(s.owner_left),
-        order_left=s.order_left if s.order_left < 0 else _down(s.order_left),
-        start_left=_down(s.start_left),
-        decider_left=_down(s.decider_left),
+        owner_left=_count_down(s.owner_left),
+        order_left=s.order_left if s.order_left < 0 else _count_down(s.order_left),
+        start_left=_count_down(s.start_left),
+        decider_left=_count_down(s.decider_left),
         first=first,
         lease_left=lease_left,
-        wait_left=_down(s.wait_left),
-        over_left=_down(s.over_left) if s.wait_left == 0 else s.over_left,
+        wait_left=_count_down(s.wait_left),
+        over_left=_count_down(s.over_left) if s.wait_left == 0 else s.over_left,
     )
     return [("tick", after)]
 
@@ -121,7 +124,7 @@
 def _old_owner(s: State, guards: Guards) -> Steps:
     steps: Steps = []
     if not s.succession or not guards.authority_needs_clear_log:
-        steps.append(("owner reads the log", replace(s, owner_left=AUTHORITY)))
+        steps.append(("owner reads the log", replace(s, owner_left=AUTHORITY_TICKS)))
     if s.owner_left > 0:
         heard = max(s.decider_left, s.owner_left)
         steps.append(("owner is heard", replace(s, decider_left=heard)))
@@ -139,13 +142,13 @@
         valid = s.order_left > 0 or not guards.order_deadline
         if valid and not s.decider_holds:
             sent = replace(
-                s, order_left=-1, start_epoch=1, start_left=LEASE, decider_holds=1
+                s, order_left=-1, start_epoch=1, start_left=LEASE_TICKS, decider_holds=1
             )
             steps.append(("decider starts", sent))
         steps.append(("order is dropped", replace(s, order_left=-1)))
     renews = s.decider_left > 0 or not guards.renewal_needs_authority
     if s.first == RUNNING and s.decider_holds and renews and s.epoch == 1:
-        steps.append(("decider renews", replace(s, lease_left=LEASE)))
+        steps.append(("decider renews", replace(s, lease_left=LEASE_TICKS)))
     may_forget = s.durable or not guards.acknowledge_when_durable
     if s.first == FINISHED and s.known and may_forget:
         steps.append(("end is acknowledged", replace(s, known=0)))
@@ -170,8 +173,8 @@
     return steps
 
 
-def _seen(s: State) -> int:
-    """Return what an inventory of the first worker shows now."""
+def _inventory_answer(s: State) -> int:
+    """Return the inventory that the first worker would report now."""
     if s.first == RUNNING:
         return 2
     if s.first == FINISHED and s.known:
@@ -179,12 +182,12 @@
     return 1
 
 
-def _promise(s: State, guards: Guards) -> Steps:
+def _peer_promise(s: State, guards: Guards) -> Steps:
     """
-    Let the peer that may succeed promise the old owner one more span.
+    Let the potential successor prolong the old owner's authority.
 
-    A peer in a new life knows of no succession until it has read the log; the
-    checker lets it promise then, and the old owner must know better.
+    A restarted peer knows of no succession until it has read the log. The checker lets
+    it grant authority in that state, and the old owner must disregard it.
     """
     knows = s.phase == WAITING and guards.no_promise_once_succeeded
     lapsed = s.owner_left == 0 and guards.promises_only_prolong
@@ -192,59 +195,59 @@
         return []
     new_life = s.phase in (STARTED, SETTLED)
     if s.phase == IDLE or new_life or not guards.no_promise_once_succeeded:
-        promised = replace(s, owner_left=AUTHORITY)
+        promised = replace(s, owner_left=AUTHORITY_TICKS)
         return [("peer promises", promised)]
     return []
 
 
 def _successor(s: State, guards: Guards) -> Steps:
     steps: Steps = []
-    steps.extend(_promise(s, guards))
+    steps.extend(_peer_promise(s, guards))
     if s.phase == IDLE and not s.succession:
-        wait = AUTHORITY if guards.successor_waits else 0
-        lease = LEASE if guards.successor_waits_lease else 0
+        wait = AUTHORITY_TICKS if guards.successor_waits else 0
+        lease = LEASE_TICKS if guards.successor_waits_lease else 0
         after = replace(s, succession=1, phase=WAITING, wait_left=wait, over_left=lease)
         steps.append(("successor records", after))
     may_ask = s.wait_left == 0 or not guards.inventory_after_wait
     if s.phase == WAITING and may_ask and s.inventory == 0:
-        # By the old decider, whose epoch is in force and whose own starts in
-        # flight are part of its answer, or by a claim of the successor's own.
+        # The inventory comes from the old decider, whose epoch is still valid and whose
+        # answer includes its own starts in transit, or from a claim by the successor.
         if s.epoch == 1:
-            seen = 2 if s.start_epoch else _seen(s)
+            seen = 2 if s.start_epoch else _inventory_answer(s)
             steps.append(("old decider answers", replace(s, inventory=seen)))
-        claimed = replace(s, epoch=2, inventory=_seen(s))
+        claimed = replace(s, epoch=2, inventory=_inventory_answer(s))
         steps.append(("successor claims", claimed))
     if s.phase == WAITING and s.inventory == 3:
         steps.append(("successor settles", replace(s, phase=SETTLED)))
     if s.phase == WAITING and s.durable:
         steps.append(("successor reads the end", replace(s, phase=SETTLED)))
-    # What the log holds is read anew once all else is certain.
+    # The log is read again once everything else is certain.
     recorded = s.durable and guards.log_read_before_start
     certain = s.wait_left == 0 and s.over_left == 0 and not recorded
     answered = s.inventory == 1 or not s.listed or not guards.inventory_before_start
     if s.phase == WAITING and certain and answered:
-        # A worker that left the list keeps the result of what it finished; the
-        # product says so in its documentation, and the promise leaves it out.
+        # A worker that left the list keeps the results of its finished tasks. This is
+        # documented behaviour, so the invariant excludes it.
         again = int(s.first == FINISHED and bool(s.listed))
         started = replace(s, phase=STARTED, second=RUNNING, again=again)
         steps.append(("successor starts", started))
     if s.phase == WAITING and s.inventory == 2 and s.first != RUNNING:
-        # The attempt it adopted is over: it asks again.
+        # The adopted attempt is over, so the successor asks again.
         steps.append(("successor asks again", replace(s, inventory=0)))
     return steps
 
 
-PARTS = (_time, _old_owner, _old_decider, _first_worker, _successor)
+TRANSITION_PARTS = (_tick, _old_owner, _old_decider, _first_worker, _successor)
 
 
 def protocol(guards: Guards) -> Protocol:
-    """Return the specification with some guards, for the checker."""
+    """Return the specification under the given guards, for the checker."""
 
     def transitions(values: tuple[int, ...]) -> list[tuple[str, tuple[int, ...]]]:
         s = State(*values)
         return [
             (label, after.values())
-            for part in PARTS
+            for part in TRANSITION_PARTS
             for label, after in part(s, guards)
         ]
 
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/__init__.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/__init__.py
@@ -1,1 +1,1 @@
-"""Give operators and callers a command line."""
+"""Command line for operators and callers."""
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/budget.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/budget.py
@@ -1,10 +1,11 @@
 """
-Say from logs where the time of each queue's jobs goes.
+Compute latency statistics of each queue's jobs by stage, from log lines.
 
-A job's time is cut into stages, each between two log lines: stored (the request until
-the store had it), placed (from there to the first start), run (start to end of each
-run that was done), handed over (from the last end of a step to the first start of the
-next), shown (from the last end to the final status).
+A job's time is divided into stages, each between two log lines: stored (from the
+request until it is stored), placed (from there to the first start), run (start to end
+of each run that was done), handed over (from the last end of a step to the first start
+of the next), shown (from the last end to the final status). The stage whole is the
+job's age at its final status.
 """
 
 from collections import defaultdict
@@ -14,13 +15,13 @@
 from .story import Line
 
 STAGES = ("stored", "placed", "run", "handed over", "shown", "whole")
-MEDIAN = 0.5
-TAIL = 0.95
+MEDIAN_QUANTILE = 0.5
+TAIL_QUANTILE = 0.95
 
 
 @dataclass(frozen=True, slots=True)
 class Stage:
-    """One stage of the jobs of one queue; times are seconds."""
+    """Statistics of one stage of one queue's jobs; times are in seconds."""
 
     queue: str
     stage: str
@@ -31,7 +32,7 @@
 
 @dataclass(slots=True)
 class _Job:
-    """What the log says of one job: times in Unix seconds, by step."""
+    """The state of one job according to the logs; ``_at_s`` are Unix times, by step."""
 
     queue: str = ""
     stored_s: float = 0.0
@@ -45,21 +46,27 @@
 
 
 def budget(lines: Iterable[Line]) -> list[Stage]:
-    """Return the stages of each queue whose acceptance the lines show."""
-    spans: dict[tuple[str, str], list[float]] = defaultdict(list)
+    """Return the stages by queue, of the jobs whose acceptance was logged."""
+    durations_s: dict[tuple[str, str], list[float]] = defaultdict(list)
     for job in _jobs(lines).values():
-        for stage, span_s in _spans(job):
-            spans[job.queue, stage].append(span_s)
+        for stage, duration_s in _stage_durations(job):
+            durations_s[job.queue, stage].append(duration_s)
     return [
-        Stage(queue, stage, len(found), _at(found, MEDIAN), _at(found, TAIL))
-        for queue in sorted({queue for queue, _ in spans})
+        Stage(
+            queue,
+            stage,
+            len(found),
+            _quantile(found, MEDIAN_QUANTILE),
+            _quantile(found, TAIL_QUANTILE),
+        )
+        for queue in sorted({queue for queue, _ in durations_s})
         for stage in STAGES
-        if (found := sorted(spans.get((queue, stage), [])))
+        if (found := sorted(durations_s.get((queue, stage), [])))
     ]
 
 
-def _at(ordered: list[float], share: float) -> float:
-    return round(ordered[int(share * (len(ordered) - 1))], 4)
+def _quantile(ordered: list[float], quantile: float) -> float:
+    return round(ordered[int(quantile * (len(ordered) - 1))], 4)
 
 
 def _jobs(lines: Iterable[Line]) -> dict[str, _Job]:
@@ -67,11 +74,11 @@
     for line in lines:
         job_id = line.get("job")
         if job_id:
-            _take(jobs[job_id], line)
+            _apply_line(jobs[job_id], line)
     return {name: job for name, job in jobs.items() if job.stored_at_s is not None}
 
 
-def _take(job: _Job, line: Line) -> None:
+def _apply_line(job: _Job, line: Line) -> None:
     at_s = line["timestamp"]
     match line["event"]:
         case "submit: answered" if line["stored"] == "yes" and job.stored_at_s is None:
@@ -80,12 +87,12 @@
             job.stored_at_s = at_s
         case "start":
             step = line["task"][2]
-            job.started_at_s[_run(line)] = at_s
+            job.started_at_s[_run_key(line)] = at_s
             job.first_start_at_s.setdefault(step, at_s)
         case "run_done":
             step = line["task"][2]
             job.last_end_at_s[step] = at_s
-            begun_at_s = job.started_at_s.get(_run(line))
+            begun_at_s = job.started_at_s.get(_run_key(line))
             if begun_at_s is not None:
                 job.runs_s.append(at_s - begun_at_s)
         case "job_finished":
@@ -93,21 +100,21 @@
             job.age_s = line["age_s"]
 
 
-def _run(line: Line) -> tuple[str, int]:
+def _run_key(line: Line) -> tuple[str, int]:
     return ("/".join(map(str, line["task"])), line["run"])
 
 
-def _spans(job: _Job) -> Iterator[tuple[str, float]]:
+def _stage_durations(job: _Job) -> Iterator[tuple[str, float]]:
     yield "stored", job.stored_s
     assert job.stored_at_s is not None
     if job.first_start_at_s:
         yield "placed", max(0.0, min(job.first_start_at_s.values()) - job.stored_at_s)
-    for span_s in job.runs_s:
-        yield "run", span_s
+    for duration_s in job.runs_s:
+        yield "run", duration_s
     for step, begun_at_s in job.first_start_at_s.items():
-        before_at_s = job.last_end_at_s.get(step - 1)
-        if before_at_s is not None and begun_at_s >= before_at_s:
-            yield "handed over", begun_at_s - before_at_s
+        previous_end_at_s = job.last_end_at_s.get(step - 1)
+        if previous_end_at_s is not None and begun_at_s >= previous_end_at_s:
+            yield "handed over", begun_at_s - previous_end_at_s
     if job.finished_at_s is not None:
         if job.last_end_at_s:
             yield "shown", max(0.0, job.finished_at_s - max(job.last_end_at_s.values()))
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/client.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/client.py
@@ -1,4 +1,4 @@
-"""Call one entry instance's callers' or operators' listener."""
+"""Client for the callers' and the operators' listener of an entry instance."""
 
 import asyncio
 import os
@@ -21,21 +21,23 @@
 
 from .errors import EXIT_REFUSED, EXIT_UNKNOWN, EXIT_UNREACHABLE, UserError
 
-TIMEOUT_S = 15.0
+CALL_TIMEOUT_S = 15.0
 TOKEN_VARIABLE = "HORNBEAMPADDLE_TOKEN"
 
 
 def parse_address(text: str) -> Address:
-    """Read ``HOST:PORT``."""
+    """Parse ``HOST:PORT``; raise UserError if it is malformed."""
     host, colon, port = text.rpartition(":")
     if not colon or not port.isdigit():
-        raise UserError(f"{text!r} is not HOST:PORT with an IP number")
+        raise UserError(
+            f"{text!r} is not of the form HOST:PORT with a numeric IP address"
+        )
     return Address(host, int(port))
 
 
 @dataclass
 class OperatorOptions:
-    """Options that every operator's command takes."""
+    """Options of every operator command."""
 
     instance: Annotated[
         str,
@@ -48,29 +50,29 @@
     token_file: Annotated[
         Path | None,
         cappa.Arg(
-            long="--token-file", help=f"File with the token; else ${TOKEN_VARIABLE}."
+            long="--token-file", help=f"File with the token; default ${TOKEN_VARIABLE}."
         ),
     ] = None
-    json: Annotated[bool, cappa.Arg(long="--json", help="Print JSON for programs.")] = (
-        False
-    )
+    json: Annotated[bool, cappa.Arg(long="--json", help="Print JSON.")] = False
 
     def token(self) -> str:
-        """Return the operators' token."""
+        """Return the operator token; raise UserError if there is none."""
         if self.token_file is not None:
             try:
                 return self.token_file.read_text().strip()
             except OSError as error:
-                raise UserError(f"cannot read the token: {error}") from None
+                raise UserError(f"cannot read the token file: {error}") from None
         token = os.environ.get(TOKEN_VARIABLE, "")
         if not token:
-            raise UserError(f"give --token-file, or set {TOKEN_VARIABLE}")
+            raise UserError(
+                f"no operator token: pass --token-file or set {TOKEN_VARIABLE}"
+            )
         return token
 
 
 @dataclass
 class Client:
-    """One listener of one entry instance."""
+    """Client of one listener of an entry instance."""
 
     address: Address
     token: str = ""
@@ -83,46 +85,48 @@
         body: bytes = b"",
         headers: dict[str, str] | None = None,
     ) -> Response:
-        """Make one call; raise UserError where there is no whole answer."""
+        """Make one call; raise UserError if there is no complete response."""
         sent = {**self.headers, **(headers or {})}
         if self.token:
             sent["authorization"] = f"Bearer {self.token}"
         client = HttpClient(self.address, 1)
-        exchange = await client.call(Request(method, path, sent, body), TIMEOUT_S)
+        exchange = await client.call(Request(method, path, sent, body), CALL_TIMEOUT_S)
         client.close()
         match exchange:
             case Response():
                 return exchange
             case NotSent(detail):
-                message = f"cannot reach {self.address}: {detail}; nothing was done"
+                message = (
+                    f"cannot reach {self.address}: {detail}; the request was not sent"
+                )
                 raise UserError(message, EXIT_UNREACHABLE)
             case NoResponse(detail) | CutShort(detail):
-                message = f"no whole answer from {self.address}: {detail}; ask again"
+                message = f"no complete response from {self.address}: {detail}; retry"
                 raise UserError(message, EXIT_UNKNOWN)
 
 
 def operator_call(
     options: OperatorOptions, method: str, path: str, body: bytes = b""
 ) -> Any:
-    """Call the operators' listener and return the decoded JSON answer."""
+    """Call the operators' listener and return the decoded JSON response."""
     client = Client(parse_address(options.instance), options.token())
     response = asyncio.run(client.call(method, path, body))
-    return decoded(response)
+    return decode_response(response)
 
 
-def decoded(response: Response) -> Any:
-    """Return an answer's JSON; raise UserError if it is an error."""
+def decode_response(response: Response) -> Any:
+    """Return the JSON of a response; raise UserError if it is an error."""
     try:
         value = msgspec.json.decode(response.body)
     except ValueError:
-        raise UserError(f"status {response.status}, and no JSON in it") from None
+        raise UserError(
+            f"response with status {response.status} is not valid JSON"
+        ) from None
     if response.status < 400:
         return value
     detail = value.get("detail") or value.get("reason") or value.get("error")
     unknown = value.get("outcome") == "unknown" or detail == "unknown"
     if unknown:
-        message = (
-            f"it may have taken effect ({detail}); ask again, it is safe to repeat"
-        )
+        message = f"the call may have taken effect ({detail}); it is safe to retry"
         raise UserError(message, EXIT_UNKNOWN)
     raise UserError(f"refused: {detail}", EXIT_REFUSED)
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/__init__.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Hold one thin module for each command."""
+"""The commands, one module each."""
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/budget.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/budget.py
@@ -1,4 +1,4 @@
-"""Print from log files where the time of each queue's jobs goes."""
+"""Print latency statistics of each queue's jobs by stage, from log files."""
 
 import json
 from dataclasses import asdict, dataclass, field
@@ -15,7 +15,7 @@
 COLUMNS = ("queue", "stage", "count", "median_s", "p95_s")
 
 
-@cappa.command(help="Say from logs where the time of each queue's jobs goes.")
+@cappa.command(help="Print how long each queue's jobs spend in each stage.")
 @dataclass
 class Budget:
     """Read logs of any number of instances, in any order."""
@@ -28,7 +28,7 @@
     )
 
     def __call__(self) -> None:
-        """Read, cut into stages, print."""
+        """Compute the stages and print them."""
         stages = budget(parse(read_texts(self.files)))
         if self.json:
             print(json.dumps({"stages": [asdict(stage) for stage in stages]}))
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/config.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/config.py
@@ -1,4 +1,4 @@
-"""Show the configuration in force, who lags, and what became of plans."""
+"""Show the applied configuration, lagging instances and the history of plans."""
 
 import json
 from dataclasses import dataclass
@@ -10,17 +10,17 @@
 from ..tables import table
 
 
-@cappa.command(help="Show the configuration: status (who lags) or history.")
+@cappa.command(help="Show the configuration: status (lagging instances) or history.")
 @dataclass
 class Config(OperatorOptions):
-    """Print the offsets in force or the verdicts on plans."""
+    """Print the applied offsets or the verdicts on plans."""
 
     what: Annotated[
         Literal["status", "history"], cappa.Arg(help="status or history.")
     ] = "status"
 
     def __call__(self) -> None:
-        """Ask and print."""
+        """Fetch the configuration and print it."""
         value = operator_call(self, "GET", "/v1/config")
         if self.json:
             print(json.dumps(value))
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/confirm.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/confirm.py
@@ -1,4 +1,4 @@
-"""Confirm a plan: it takes effect exactly as printed, or not at all."""
+"""Confirm a plan; it takes effect exactly as printed, or not at all."""
 
 import json
 from dataclasses import dataclass
@@ -16,14 +16,14 @@
 class Confirm(OperatorOptions):
     """Confirm one plan."""
 
-    plan: Annotated[Path, cappa.Arg(help="The plan's file.")] = Path()
+    plan: Annotated[Path, cappa.Arg(help="The file that 'plan' wrote.")] = Path()
 
     def __call__(self) -> None:
-        """Send the plan back and print the verdict."""
+        """Send the plan and print the verdict."""
         try:
             body = self.plan.read_bytes()
         except OSError as error:
-            raise UserError(f"cannot read the plan: {error}") from None
+            raise UserError(f"cannot read the plan file: {error}") from None
         verdict = operator_call(self, "POST", "/v1/confirmations", body)
         if self.json:
             print(json.dumps(verdict))
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/demo.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/demo.py
@@ -1,4 +1,4 @@
-"""Run the whole system on stand-ins, in one process on loopback."""
+"""Run the whole system with a simulated platform, in one process on loopback."""
 
 import asyncio
 from dataclasses import dataclass
@@ -8,23 +8,23 @@
 import cappa
 
 
-@cappa.command(help="Run the whole system on stand-ins for half a minute.")
+@cappa.command(help="Run the whole system on a simulated platform for half a minute.")
 @dataclass
 class Demo:
     """Run the demonstration."""
 
     json: Annotated[
-        bool, cappa.Arg(long="--json", help="End with one line of JSON.")
+        bool, cappa.Arg(long="--json", help="Print the result as one line of JSON.")
     ] = False
-    seed: Annotated[int, cappa.Arg(long="--seed", help="Seed of the load.")] = 1
+    seed: Annotated[int, cappa.Arg(long="--seed", help="Seed of the random load.")] = 1
     out: Annotated[
         Path | None,
-        cappa.Arg(long="--out", help="Keep settings, logs and traces here."),
+        cappa.Arg(long="--out", help="Directory for settings, logs and traces."),
     ] = None
 
     def __call__(self) -> None:
-        """Run it, and exit with 1 if a promise was broken."""
-        # Only this command needs the stand-ins and the daemon's packages.
+        """Run the demonstration; exit with 1 if a guarantee was violated."""
+        # Only this command needs the packages of the simulators and the daemon.
         from ..demo import run_demo
 
         good = asyncio.run(run_demo(self.seed, self.out, self.json))
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/events.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/events.py
@@ -1,4 +1,4 @@
-"""Show an instance's events, and follow them."""
+"""Print an instance's events, once or continuously."""
 
 import json
 import time
@@ -12,15 +12,17 @@
 FOLLOW_INTERVAL_S = 1.0
 
 
-@cappa.command(help="Print events; --follow goes on until interrupted.")
+@cappa.command(help="Print events; with --follow, until interrupted.")
 @dataclass
 class Events(OperatorOptions):
     """Print events of one instance."""
 
-    follow: Annotated[bool, cappa.Arg(long="--follow", help="Go on for ever.")] = False
+    follow: Annotated[
+        bool, cappa.Arg(long="--follow", help="Keep printing new events.")
+    ] = False
 
     def __call__(self) -> None:
-        """Ask and print, again and again if asked to."""
+        """Fetch and print events; with ``follow``, poll for new ones."""
         number = 0
         while True:
             value = operator_call(self, "GET", f"/v1/events?from={number}")
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/explain.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/explain.py
@@ -1,4 +1,4 @@
-"""Say why a task is where it is, or why it does not run."""
+"""Explain the placement of a task, or why it does not run."""
 
 import json
 from dataclasses import dataclass
@@ -9,7 +9,7 @@
 from ..client import OperatorOptions, operator_call
 
 
-@cappa.command(help="Say why a task is where it is, or why it does not run.")
+@cappa.command(help="Explain why a task is placed where it is, or why it does not run.")
 @dataclass
 class Explain(OperatorOptions):
     """Explain one task."""
@@ -17,7 +17,7 @@
     task: Annotated[str, cappa.Arg(help="The task, as JOB/NUMBER.")] = ""
 
     def __call__(self) -> None:
-        """Ask and print."""
+        """Fetch the explanation and print it."""
         value = operator_call(self, "GET", f"/v1/explain/{self.task}")
         if self.json:
             print(json.dumps(value))
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/jobs.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/jobs.py
@@ -5,7 +5,7 @@
 import cappa
 
 from ..client import OperatorOptions, operator_call
-from ..tables import show
+from ..tables import print_rows
 
 COLUMNS = ("job_id", "team", "kind", "tasks", "state", "ended", "owner")
 
@@ -16,6 +16,6 @@
     """Print one line for each job."""
 
     def __call__(self) -> None:
-        """Ask and print."""
+        """Fetch the jobs and print them."""
         value = operator_call(self, "GET", "/v1/jobs")
-        show(value, self.json, COLUMNS, "jobs")
+        print_rows(value, self.json, COLUMNS, "jobs")
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/losses.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/losses.py
@@ -1,4 +1,4 @@
-"""Print where the time of late jobs went, from log files."""
+"""Print the delays of late jobs by stage, from log files."""
 
 import json
 from dataclasses import asdict, dataclass, field
@@ -8,14 +8,12 @@
 import cappa
 
 from ..logfiles import read_texts
-from ..losses import SLOT_S, Losses, losses
+from ..losses import TIME_BIN_S, Losses, losses
 from ..story import parse
 from ..tables import table
 
 
-@cappa.command(
-    name="losses", help="Sum up by stage and queue where late jobs lost their time."
-)
+@cappa.command(name="losses", help="Sum up the delays of late jobs by queue and stage.")
 @dataclass
 class LossesCommand:
     """Read logs of any number of instances, in any order."""
@@ -28,7 +26,7 @@
     )
 
     def __call__(self) -> None:
-        """Read, sum up, print the tables and the plot by time."""
+        """Sum up the delays and print the tables and the plot by time."""
         found = losses(parse(read_texts(self.files)))
         if self.json:
             print(json.dumps(asdict(found)))
@@ -48,8 +46,8 @@
 
 
 def _plot(found: Losses) -> str:
-    """Return a bar for each slot of time: the late jobs that were accepted in it."""
+    """Return a bar for each time bin: the late jobs that were accepted in it."""
     last = max(found.by_slot, default=-1)
     bars = [found.by_slot.get(slot, 0) for slot in range(last + 1)]
-    lines = [f"{SLOT_S * n:6.0f} s  {'#' * count}" for n, count in enumerate(bars)]
+    lines = [f"{TIME_BIN_S * n:6.0f} s  {'#' * count}" for n, count in enumerate(bars)]
     return "\n".join(["late jobs by the time at which they were accepted", *lines])
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/plan.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/plan.py
@@ -1,4 +1,4 @@
-"""State an intent and get a plan; nothing changes until it is confirmed."""
+"""Request the plan for an intent; nothing changes until it is confirmed."""
 
 import json
 from dataclasses import dataclass, field
@@ -29,29 +29,29 @@
 
 @dataclass
 class NeedsOptions:
-    """Options that state what one slot, task or team needs."""
+    """Resource options of a slot, a task or a team's quota."""
 
     cpu_millis: Annotated[int, cappa.Arg(long="--cpu-millis")] = 1000
     memory_mib: Annotated[int, cappa.Arg(long="--memory-mib")] = 1024
     accelerators: Annotated[int, cappa.Arg(long="--accelerators")] = 0
 
     def needs(self) -> Needs:
-        """Return the needs as the instances read them."""
+        """Return the resources; raise UserError if one is negative."""
         if min(self.cpu_millis, self.memory_mib, self.accelerators) < 0:
-            raise UserError("sizes must not be negative")
+            raise UserError("resource sizes must not be negative")
         return Needs(self.cpu_millis, self.memory_mib * MIB, self.accelerators)
 
 
 @dataclass
 class PlanOptions(OperatorOptions):
-    """Options that every plan takes."""
+    """Options of every plan command."""
 
     out: Annotated[
         Path | None, cappa.Arg(long="--out", help="Where to write the plan.")
     ] = None
 
-    def make(self, intent: Intent) -> None:
-        """Get the plan of an intent, keep it in a file and print it."""
+    def request_plan(self, intent: Intent) -> None:
+        """Request the plan for an intent, save it to a file and print it."""
         body = msgspec.json.encode(intent)
         plan = operator_call(self, "POST", "/v1/plans", body)
         path = self.out or Path(f"plan-{plan['plan_id']}.json")
@@ -61,7 +61,7 @@
         else:
             print_plan(plan, path)
         if any(effect["verb"] == "refuse" for effect in plan["effects"]):
-            raise UserError("the plan refuses what was intended", EXIT_REFUSED)
+            raise UserError("the plan refuses the intent", EXIT_REFUSED)
 
 
 def print_plan(plan: dict[str, Any], path: Path) -> None:
@@ -89,11 +89,11 @@
     team: Annotated[str, cappa.Arg(long="--team")] = "default"
     repeat: Annotated[
         Literal["idempotent", "exclusive", "at_most_once"],
-        cappa.Arg(long="--repeat", help="What a repeated request may do."),
+        cappa.Arg(long="--repeat", help="How a repeated request is handled."),
     ] = "exclusive"
-    slots: Annotated[int, cappa.Arg(long="--slots", help="Slots a worker.")] = 8
+    slots: Annotated[int, cappa.Arg(long="--slots", help="Slots per worker.")] = 8
     workers: Annotated[
-        int, cappa.Arg(long="--workers", help="How many workers; 0 for all that fit.")
+        int, cappa.Arg(long="--workers", help="Number of workers; 0 for all that fit.")
     ] = 0
     data_centre: Annotated[list[str], cappa.Arg(long="--data-centre")] = field(
         default_factory=list
@@ -101,7 +101,7 @@
     needs: cappa.Destructured[NeedsOptions] = field(default_factory=NeedsOptions)
 
     def __call__(self) -> None:
-        """Make the plan."""
+        """Request the plan."""
         intent = AddService(
             service=self.service,
             repeat=self.repeat,
@@ -111,7 +111,7 @@
             workers=self.workers,
             data_centres=tuple(self.data_centre),
         )
-        self.make(intent)
+        self.request_plan(intent)
 
 
 @cappa.command(name="remove-service", help="Remove a service.")
@@ -122,11 +122,11 @@
     service: str = ""
 
     def __call__(self) -> None:
-        """Make the plan."""
-        self.make(DropService(self.service))
+        """Request the plan."""
+        self.request_plan(DropService(self.service))
 
 
-@cappa.command(name="drain", help="Empty a worker, rack or data centre.")
+@cappa.command(name="drain", help="Drain a worker, rack or data centre.")
 @dataclass
 class PlanDrain(PlanOptions):
     """Plan a drain."""
@@ -135,11 +135,11 @@
     name: str = ""
 
     def __call__(self) -> None:
-        """Make the plan."""
-        self.make(Drain(self.zone, self.name, True))
+        """Request the plan."""
+        self.request_plan(Drain(self.zone, self.name, True))
 
 
-@cappa.command(name="undrain", help="Let a worker, rack or data centre fill again.")
+@cappa.command(name="undrain", help="End the drain of a worker, rack or data centre.")
 @dataclass
 class PlanUndrain(PlanOptions):
     """Plan the end of a drain."""
@@ -148,20 +148,20 @@
     name: str = ""
 
     def __call__(self) -> None:
-        """Make the plan."""
-        self.make(Drain(self.zone, self.name, False))
+        """Request the plan."""
+        self.request_plan(Drain(self.zone, self.name, False))
 
 
-@cappa.command(name="evacuate", help="Let nothing new start in a data centre.")
+@cappa.command(name="evacuate", help="Start nothing new in a data centre.")
 @dataclass
 class PlanEvacuate(PlanOptions):
-    """Plan an evacuation; what runs there runs on."""
+    """Plan an evacuation; running tasks continue."""
 
     data_centre: str = ""
 
     def __call__(self) -> None:
-        """Make the plan."""
-        self.make(Evacuate(self.data_centre, True))
+        """Request the plan."""
+        self.request_plan(Evacuate(self.data_centre, True))
 
 
 @cappa.command(name="take-back", help="End the evacuation of a data centre.")
@@ -172,8 +172,8 @@
     data_centre: str = ""
 
     def __call__(self) -> None:
-        """Make the plan."""
-        self.make(Evacuate(self.data_centre, False))
+        """Request the plan."""
+        self.request_plan(Evacuate(self.data_centre, False))
 
 
 @cappa.command(name="set-limit", help="Limit a service's requests in flight.")
@@ -185,11 +185,11 @@
     in_flight_max: int = 1
 
     def __call__(self) -> None:
-        """Make the plan."""
-        self.make(ChangeLimit(self.service, self.in_flight_max))
+        """Request the plan."""
+        self.request_plan(ChangeLimit(self.service, self.in_flight_max))
 
 
-@cappa.command(name="set-quota", help="Limit what a team's batch tasks hold.")
+@cappa.command(name="set-quota", help="Limit the resources of a team's batch tasks.")
 @dataclass
 class PlanSetQuota(PlanOptions):
     """Plan a quota."""
@@ -198,11 +198,11 @@
     needs: cappa.Destructured[NeedsOptions] = field(default_factory=NeedsOptions)
 
     def __call__(self) -> None:
-        """Make the plan."""
-        self.make(ChangeQuota(self.team, self.needs.needs()))
+        """Request the plan."""
+        self.request_plan(ChangeQuota(self.team, self.needs.needs()))
 
 
-@cappa.command(name="add-job", help="Submit a job by way of a plan.")
+@cappa.command(name="add-job", help="Submit a job through a plan.")
 @dataclass
 class PlanAddJob(PlanOptions):
     """Plan a job."""
@@ -216,7 +216,7 @@
     needs: cappa.Destructured[NeedsOptions] = field(default_factory=NeedsOptions)
 
     def __call__(self) -> None:
-        """Make the plan."""
+        """Request the plan."""
         spec = JobSpec(
             job_id=self.job_id,
             team=self.team,
@@ -226,13 +226,15 @@
             run_s=self.run_s,
             urgent=self.urgent,
         )
-        self.make(AddJob(spec))
+        self.request_plan(AddJob(spec))
 
 
-@cappa.command(name="plan", help="State an intent; print and keep the plan for it.")
+@cappa.command(
+    name="plan", help="Request the plan for an intent; print it and save it."
+)
 @dataclass
 class PlanCommand:
-    """Choose the kind of intent."""
+    """The kinds of intent."""
 
     intent: cappa.Subcommands[
         PlanAddService
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/request.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/request.py
@@ -15,7 +15,7 @@
 
 @dataclass
 class CallerOptions:
-    """Options that every caller's command takes."""
+    """Options of every caller command."""
 
     instance: Annotated[
         str,
@@ -28,20 +28,20 @@
 
 
 @cappa.command(
-    name="request", help="Send a request; the body comes from standard input."
+    name="request", help="Send a request; the body is read from standard input."
 )
 @dataclass
 class RequestCommand(CallerOptions):
-    """Send one request under a key of its own."""
+    """Send one request with an idempotency key."""
 
     service: str = ""
     timeout_s: Annotated[float, cappa.Arg(long="--timeout-s")] = 10.0
     key: Annotated[
-        str, cappa.Arg(long="--key", help="Repeat an earlier request under its key.")
+        str, cappa.Arg(long="--key", help="Retry an earlier request with its key.")
     ] = ""
 
     def __call__(self) -> None:
-        """Send and print the outcome."""
+        """Send the request and print the outcome."""
         asyncio.run(self._send(sys.stdin.buffer.read()))
 
     async def _send(self, body: bytes) -> None:
@@ -55,12 +55,14 @@
             sys.stdout.buffer.write(response.body + b"\n")
             return
         if outcome == "unknown":
-            message = f"it may have run: {response.body.decode()}; key {key}"
+            message = f"the request may have run: {response.body.decode()}; key {key}"
             raise UserError(message, EXIT_UNKNOWN)
-        raise UserError(f"not run: {response.body.decode()}", EXIT_REFUSED)
+        raise UserError(
+            f"the request did not run: {response.body.decode()}", EXIT_REFUSED
+        )
 
     async def _new_key(self, client: Client) -> str:
-        wish = json.dumps({"count": 1, "valid_s": self.timeout_s}).encode()
-        response = await client.call("POST", "/v1/keys", wish)
+        key_request = json.dumps({"count": 1, "valid_s": self.timeout_s}).encode()
+        response = await client.call("POST", "/v1/keys", key_request)
         key: str = msgspec.json.decode(response.body)["keys"][0]
         return key
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/status.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/status.py
@@ -18,13 +18,13 @@
 )
 
 
-@cappa.command(help="Show one entry instance and what it sees.")
+@cappa.command(help="Show an entry instance, its peers and its services.")
 @dataclass
 class Status(OperatorOptions):
     """Print the status of an instance."""
 
     def __call__(self) -> None:
-        """Ask and print."""
+        """Fetch the status and print it."""
         status = operator_call(self, "GET", "/v1/status")
         if self.json:
             print(json.dumps(status))
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/submit.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/submit.py
@@ -9,12 +9,12 @@
 
 from hornbeampaddle.records import JobSpec
 
-from ..client import Client, decoded, parse_address
+from ..client import Client, decode_response, parse_address
 from .plan import NeedsOptions
 from .request import CallerOptions
 
 
-@cappa.command(help="Submit a job; it is accepted once it is durable.")
+@cappa.command(help="Submit a job; it is accepted once it is stored durably.")
 @dataclass
 class Submit(CallerOptions):
     """Submit one job."""
@@ -27,7 +27,7 @@
     needs: cappa.Destructured[NeedsOptions] = field(default_factory=NeedsOptions)
 
     def __call__(self) -> None:
-        """Send the job and print the answer."""
+        """Send the job and print the response."""
         spec = JobSpec(
             job_id=self.job_id,
             team=self.team,
@@ -38,7 +38,7 @@
         )
         client = Client(parse_address(self.instance))
         body = msgspec.json.encode(spec)
-        answer = decoded(asyncio.run(client.call("POST", "/v1/jobs", body)))
+        answer = decode_response(asyncio.run(client.call("POST", "/v1/jobs", body)))
         print(f"Accepted {answer['job_id']}, owned by {answer['owner']}.")
 
 
@@ -50,8 +50,8 @@
     job_id: str = ""
 
     def __call__(self) -> None:
-        """Send the wish and print the answer."""
+        """Send the cancellation and print the response."""
         client = Client(parse_address(self.instance))
         response = asyncio.run(client.call("DELETE", f"/v1/jobs/{self.job_id}"))
-        answer = decoded(response)
+        answer = decode_response(response)
         print(f"Cancelled {answer['job_id']}.")
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/trace.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/trace.py
@@ -1,4 +1,4 @@
-"""Print one request's story from log files, the cause first."""
+"""Print one request's log lines from log files, the cause of its outcome first."""
 
 import json
 from dataclasses import asdict, dataclass, field
@@ -8,10 +8,10 @@
 import cappa
 
 from ..logfiles import read_texts
-from ..story import one_line, parse, tell
+from ..story import build_story, format_line, parse
 
 
-@cappa.command(help="Tell a request's story from logs (files, or standard input).")
+@cappa.command(help="Trace a request through logs (files, or standard input).")
 @dataclass
 class Trace:
     """Read logs of any number of instances, in any order."""
@@ -25,12 +25,12 @@
     )
 
     def __call__(self) -> None:
-        """Read, derive the cause, print."""
-        story = tell(parse(read_texts(self.files)), self.job_id)
+        """Derive the cause and print it with the log lines."""
+        story = build_story(parse(read_texts(self.files)), self.job_id)
         if self.json:
             print(json.dumps(asdict(story)))
             return
         print(f"{story.job_id}: {story.cause}")
         lines = sorted(story.lines + story.around, key=lambda x: x["timestamp"])
         for line in lines:
-            print(one_line(line, lines[0]["timestamp"]))
+            print(format_line(line, lines[0]["timestamp"]))
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/workers.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/commands/workers.py
@@ -5,7 +5,7 @@
 import cappa
 
 from ..client import OperatorOptions, operator_call
-from ..tables import show
+from ..tables import print_rows
 
 COLUMNS = (
     "worker_id",
@@ -26,6 +26,6 @@
     """Print one line for each worker."""
 
     def __call__(self) -> None:
-        """Ask and print."""
+        """Fetch the workers and print them."""
         value = operator_call(self, "GET", "/v1/workers")
-        show(value, self.json, COLUMNS, "workers")
+        print_rows(value, self.json, COLUMNS, "workers")
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/errors.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/errors.py
@@ -1,4 +1,4 @@
-"""Define the errors that end a command, and its exit codes."""
+"""Errors that end a command, and their exit codes."""
 
 EXIT_REFUSED = 3
 EXIT_UNKNOWN = 4
@@ -6,9 +6,9 @@
 
 
 class UserError(Exception):
-    """A message that the person at the terminal can act on."""
+    """An error that the user can act on; printed without a traceback."""
 
     def __init__(self, message: str, code: int = EXIT_REFUSED) -> None:
-        """Keep the sentence and the exit code."""
+        """Store the message and the exit code."""
         super().__init__(message)
         self.code = code
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/logfiles.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/logfiles.py
@@ -8,7 +8,7 @@
 
 
 def read_texts(files: list[Path]) -> Iterator[str]:
-    """Return all lines of the files, of standard input if there is none."""
+    """Yield the lines of the files, or of standard input if there are none."""
     if not files:
         yield from sys.stdin
         return
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/losses.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/losses.py
@@ -1,10 +1,10 @@
 """
-Work out from logs where the time of late jobs went.
+Attribute the delay of late jobs to stages, from log lines.
 
 The critical path of a job is followed backwards: the task that ended last, what it did
-since its step's turn came, then the task whose end let that step begin. Each span of
-the path gets a stage; a job that missed its objective is shared out among the stages
-that delayed it, by their length.
+since its step became ready, then the task whose end made that step ready. Each span of
+the path is assigned a stage. A job that missed its objective is divided among the
+stages that delayed it, in proportion to their duration.
 """
 
 from collections import Counter, defaultdict
@@ -13,56 +13,60 @@
 
 from .story import Line
 
+# Stages of the critical path, as printed.
 AT_WORK = "at work"
 PACED = "paced down"
 HANDED_OVER = "step handed over"
 ACCEPTED = "accepted, not known to the holder"
 NO_HOLDER = "no holder"
-# Stages that are the job's own work, which no decision could have spared it.
-OWN_STAGES = {AT_WORK}
-FINAL_LATE = ("completed", "failed")
-# A moment of the table by time; loads of users swing over several of these.
-SLOT_S = 2.0
+# Stages that are the job's own work: no scheduling decision could have avoided them.
+WORK_STAGES = {AT_WORK}
+# Final statuses that count against the objective; cancelled jobs do not.
+JUDGED_STATUSES = ("completed", "failed")
+# Bin width of the late jobs by time. User load varies over several bins.
+TIME_BIN_S = 2.0
 
-# From the last end of a step to the turn of the next: one report and one decision take
-# 0.1 s, with a busy holder a few tenths.
-HAND_OVER_MAX_S = 0.5
-# A holder writes its state every second; from its last line to the next holder's first.
-GAP_MIN_S = 0.5
+# Longest time from the last end of a step until the next one is ready that counts as a
+# step transition. One report and one decision take 0.1 s, with a busy holder a few
+# tenths of a second.
+STEP_TRANSITION_MAX_S = 0.5
+# Shortest time from a holder's last line to its successor's first that counts as time
+# without a holder. A holder logs its state every second.
+HOLDER_GAP_MIN_S = 0.5
 
-TaskName = tuple[int, int, int]
+TaskKey = tuple[int, int, int]
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """A part of a job's critical path, between two times of the logs."""
+    """A part of a job's critical path, between two log timestamps."""
 
     stage: str
     begin_s: float
     end_s: float
 
     @property
-    def length_s(self) -> float:
-        """Return its length."""
+    def duration_s(self) -> float:
+        """Return the duration, at least 0."""
         return max(0.0, self.end_s - self.begin_s)
 
 
 @dataclass(slots=True)
 class Attempt:
-    """One run of a task as the logs show it; ``end_s`` is nothing while it runs."""
+    """One run of a task according to the logs; ``end_s`` is None while it runs."""
 
     number: int
     begin_s: float
     waited_s: float
     end_s: float | None = None
     how: str = ""
-    # Each change of pace: when, and to which percentage.
-    paces: list[tuple[float, int]] = field(default_factory=list)
+    # Pace changes: time and new pace in percent.
+    pace_changes: list[tuple[float, int]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class JobLog:
-    """What the logs say of one job."""
+    """The state of one job according to the logs."""
 
     job_id: str
     queue: str = ""
@@ -71,25 +75,25 @@
     status: str = ""
     age_s: float = 0.0
     objective_s: float | None = None
-    attempts: dict[TaskName, list[Attempt]] = field(
+    attempts: dict[TaskKey, list[Attempt]] = field(
         default_factory=lambda: defaultdict(list)
     )
-    # Why it waited, as the holder said it: when, and the reason.
+    # Wait reasons logged by the holder, with their time.
     reasons: list[tuple[float, str]] = field(default_factory=list)
-    # The seconds that its steps waited for each reason, as its last line sums them up.
+    # Seconds that its steps waited, by reason, as summed up in its last line.
     waited_s: dict[str, float] = field(default_factory=dict)
 
     @property
     def late(self) -> bool:
-        """Tell whether it came to its end and missed its objective."""
-        if self.status not in FINAL_LATE or self.objective_s is None:
+        """Return whether the job ended and missed its objective."""
+        if self.status not in JUDGED_STATUSES or self.objective_s is None:
             return False
         return self.status == "failed" or self.age_s > self.objective_s
 
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """What one stage cost one queue: seconds of late jobs, and jobs by their share."""
+    """The cost of one stage to one queue: seconds of late jobs, and their shares."""
 
     queue: str
     stage: str
@@ -99,17 +103,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Losses:
-    """All jobs of some logs: by queue how many ended and were late, and the stages."""
+    """All jobs of some logs: ended and late jobs by queue, and the cost by stage."""
 
     ended: dict[str, int]
     late: dict[str, int]
     rows: list[Loss]
-    # Late jobs by the time at which they were accepted, in slots of ``SLOT_S``.
+    # Late jobs by the time at which they were accepted, in bins of ``TIME_BIN_S``.
     by_slot: dict[int, int]
 
 
 def losses(lines: list[Line]) -> Losses:
-    """Return where the time of late jobs went; lines are in time order."""
+    """Return the delays of late jobs by queue and stage; lines are in time order."""
     jobs = read_jobs(lines)
     gaps = _holder_gaps(lines)
     first_s = lines[0]["timestamp"] if lines else 0.0
@@ -119,19 +123,19 @@
     seconds: dict[tuple[str, str], float] = defaultdict(float)
     shares: dict[tuple[str, str], float] = defaultdict(float)
     for job in jobs.values():
-        if job.objective_s is None or job.status not in FINAL_LATE:
+        if job.objective_s is None or job.status not in JUDGED_STATUSES:
             continue
         ended[job.queue] += 1
         if not job.late or job.accepted_s is None:
             continue
         late[job.queue] += 1
-        by_slot[int((job.accepted_s - first_s) / SLOT_S)] += 1
+        by_slot[int((job.accepted_s - first_s) / TIME_BIN_S)] += 1
         spans = critical_path(job, gaps)
-        delays_s = sum(s.length_s for s in spans if s.stage not in OWN_STAGES)
+        delays_s = sum(s.duration_s for s in spans if s.stage not in WORK_STAGES)
         for span in spans:
-            seconds[job.queue, span.stage] += span.length_s
-            if span.stage not in OWN_STAGES and delays_s:
-                shares[job.queue, span.stage] += span.length_s / delays_s
+            seconds[job.queue, span.stage] += span.duration_s
+            if span.stage not in WORK_STAGES and delays_s:
+                shares[job.queue, span.stage] += span.duration_s / delays_s
     rows = [
         Loss(queue, stage, total_s, shares[queue, stage])
         for (queue, stage), total_s in seconds.items()
@@ -141,18 +145,18 @@
 
 
 def read_jobs(lines: list[Line]) -> dict[str, JobLog]:
-    """Return each job that the logs name."""
+    """Return the jobs of the log lines, by id."""
     jobs: dict[str, JobLog] = {}
     for line in lines:
         job_id = line.get("job")
         if not job_id:
             continue
         job = jobs.setdefault(job_id, JobLog(job_id))
-        _take(job, line)
+        _apply_line(job, line)
     return jobs
 
 
-def _take(job: JobLog, line: Line) -> None:
+def _apply_line(job: JobLog, line: Line) -> None:
     at_s = line["timestamp"]
     match line["event"]:
         case "submit: answered" if line["stored"] == "yes":
@@ -161,17 +165,17 @@
                 job.accepted_s = at_s
         case "start":
             attempt = Attempt(line["run"], at_s, line["waited_s"])
-            job.attempts[_name(line)].append(attempt)
+            job.attempts[_task_key(line)].append(attempt)
         case "run_done":
-            _end(job, line, "done")
+            _end_attempt(job, line, "done")
         case "run_ended":
-            _end(job, line, line["asked"] or line["how"])
+            _end_attempt(job, line, line["asked"] or line["how"])
         case "run_released":
-            _end(job, line, line["why"])
+            _end_attempt(job, line, line["why"])
         case "pace":
-            attempts = job.attempts.get(_name(line))
+            attempts = job.attempts.get(_task_key(line))
             if attempts:
-                attempts[-1].paces.append((at_s, line["percent"]))
+                attempts[-1].pace_changes.append((at_s, line["percent"]))
         case "job_waits":
             job.reasons.append((at_s, line["reason"]))
         case "job_finished":
@@ -182,12 +186,12 @@
             job.waited_s = line.get("waited_s", {})
 
 
-def _name(line: Line) -> TaskName:
+def _task_key(line: Line) -> TaskKey:
     return tuple(line["task"][1:])
 
 
-def _end(job: JobLog, line: Line, how: str) -> None:
-    for attempt in reversed(job.attempts.get(_name(line), [])):
+def _end_attempt(job: JobLog, line: Line, how: str) -> None:
+    for attempt in reversed(job.attempts.get(_task_key(line), [])):
         if attempt.number == line["run"] and attempt.end_s is None:
             attempt.end_s = line["timestamp"]
             attempt.how = how
@@ -195,7 +199,7 @@
 
 
 def _holder_gaps(lines: list[Line]) -> list[tuple[float, float]]:
-    """Return the spans in which nobody held the cell."""
+    """Return the spans in which no instance held the cell."""
     gaps = []
     last_s: float | None = None
     for line in lines:
@@ -213,38 +217,41 @@
     spans: list[Span] = []
     at_s = job.finished_s
     while at_s is not None:
-        found = _last_ended(job, at_s)
+        found = _last_ended_attempt(job, at_s)
         if found is None:
             break
         attempts, last = found
         assert last.end_s is not None
-        spans += _handed_over(job, last.end_s, at_s, gaps)
+        spans += _transition_spans(job, last.end_s, at_s, gaps)
         ready_s = attempts[0].begin_s - attempts[0].waited_s
         spans += _task_spans(job, attempts, last, ready_s, gaps)
         if ready_s >= at_s:
             break
         at_s = ready_s
-        # What let the step begin has ended by then; clocks of instances differ little.
-        if not any(_ended_by(job, at_s)):
+        # The attempt that made the step ready has ended by then, up to the small clock
+        # differences between instances.
+        if not any(_attempts_ended_by(job, at_s)):
             break
     if job.accepted_s is not None and at_s is not None:
-        spans += _around_gaps(
+        spans += _split_at_holder_gaps(
             job.accepted_s, at_s, gaps, lambda *times_s: [Span(ACCEPTED, *times_s)]
         )
-    return [span for span in spans if span.length_s > 0]
+    return [span for span in spans if span.duration_s > 0]
 
 
-def _handed_over(
+def _transition_spans(
     job: JobLog, begin_s: float, end_s: float, gaps: list[tuple[float, float]]
 ) -> list[Span]:
-    # A new holder counts a step's wait from its own beginning: what went before it
-    # was waited as well.
-    if end_s - begin_s > HAND_OVER_MAX_S:
-        return _waiting(job, begin_s, end_s, "", gaps)
+    # A new holder counts a step's wait from its own start, so the time before that
+    # counts as waiting too.
+    if end_s - begin_s > STEP_TRANSITION_MAX_S:
+        return _wait_spans(job, begin_s, end_s, "", gaps)
     return [Span(HANDED_OVER, begin_s, end_s)]
 
 
-def _ended_by(job: JobLog, at_s: float) -> Iterator[tuple[list[Attempt], Attempt]]:
+def _attempts_ended_by(
+    job: JobLog, at_s: float
+) -> Iterator[tuple[list[Attempt], Attempt]]:
     for attempts in job.attempts.values():
         for attempt in attempts:
             if attempt.how not in ("done", "failed") or attempt.end_s is None:
@@ -253,8 +260,12 @@
                 yield attempts, attempt
 
 
-def _last_ended(job: JobLog, at_s: float) -> tuple[list[Attempt], Attempt] | None:
-    return max(_ended_by(job, at_s), key=lambda pair: pair[1].end_s or 0, default=None)
+def _last_ended_attempt(
+    job: JobLog, at_s: float
+) -> tuple[list[Attempt], Attempt] | None:
+    return max(
+        _attempts_ended_by(job, at_s), key=lambda pair: pair[1].end_s or 0, default=None
+    )
 
 
 def _task_spans(
@@ -264,42 +275,44 @@
     ready_s: float,
     gaps: list[tuple[float, float]],
 ) -> list[Span]:
-    """Return what one task did from its step's turn to its last end."""
+    """Return the spans of one task from when its step was ready to its last end."""
     spans: list[Span] = []
-    free_s = ready_s
-    before = ""
+    waiting_since_s = ready_s
+    previous_outcome = ""
     for attempt in attempts:
-        spans += _waiting(job, free_s, attempt.begin_s, before, gaps)
+        spans += _wait_spans(
+            job, waiting_since_s, attempt.begin_s, previous_outcome, gaps
+        )
         end_s = attempt.end_s if attempt.end_s is not None else attempt.begin_s
         if attempt is last:
-            spans += _working(attempt, end_s)
+            spans += _run_spans(attempt, end_s)
             break
         spans.append(Span(f"run lost: {attempt.how}", attempt.begin_s, end_s))
-        free_s = end_s
-        before = attempt.how
+        waiting_since_s = end_s
+        previous_outcome = attempt.how
     return spans
 
 
-def _waiting(
+def _wait_spans(
     job: JobLog,
     begin_s: float,
     end_s: float,
-    before: str,
+    previous_outcome: str,
     gaps: list[tuple[float, float]],
 ) -> list[Span]:
     def spans(from_s: float, to_s: float) -> list[Span]:
-        if before:
-            return [Span(f"waits again after: {before}", from_s, to_s)]
+        if previous_outcome:
+            return [Span(f"waits again after: {previous_outcome}", from_s, to_s)]
         reasons = [name for at_s, name in job.reasons if from_s <= at_s <= to_s + 0.1]
         if reasons:
             return [Span(f"waits: {reasons[-1]}", from_s, to_s)]
-        return _by_reason(job, from_s, to_s)
+        return _split_by_reason(job, from_s, to_s)
 
-    return _around_gaps(begin_s, end_s, gaps, spans)
+    return _split_at_holder_gaps(begin_s, end_s, gaps, spans)
 
 
-def _by_reason(job: JobLog, begin_s: float, end_s: float) -> list[Span]:
-    """Split a wait among the reasons for which the whole job has waited."""
+def _split_by_reason(job: JobLog, begin_s: float, end_s: float) -> list[Span]:
+    """Split a wait in proportion to the job's total waits by reason."""
     total_s = sum(job.waited_s.values())
     if not total_s:
         return [Span("waits, no reason kept", begin_s, end_s)]
@@ -312,28 +325,28 @@
     return spans
 
 
-def _around_gaps(
+def _split_at_holder_gaps(
     begin_s: float,
     end_s: float,
     gaps: list[tuple[float, float]],
     spans: Callable[[float, float], list[Span]],
 ) -> list[Span]:
-    """Return the spans of a time, split where nobody held the cell for a part of it."""
+    """Return the spans of an interval, with time without a holder split off."""
     for lost_s, began_s in gaps:
-        if lost_s < end_s and began_s > begin_s and began_s - lost_s > GAP_MIN_S:
+        if lost_s < end_s and began_s > begin_s and began_s - lost_s > HOLDER_GAP_MIN_S:
             from_s, to_s = max(begin_s, lost_s), min(end_s, began_s)
-            without = Span(NO_HOLDER, from_s, to_s)
-            return [*spans(begin_s, from_s), without, *spans(to_s, end_s)]
+            without_holder = Span(NO_HOLDER, from_s, to_s)
+            return [*spans(begin_s, from_s), without_holder, *spans(to_s, end_s)]
     return spans(begin_s, end_s)
 
 
-def _working(attempt: Attempt, end_s: float) -> list[Span]:
+def _run_spans(attempt: Attempt, end_s: float) -> list[Span]:
     spans = []
     at_s = attempt.begin_s
     percent = 100
-    for pace_s, next_percent in [*attempt.paces, (end_s, 100)]:
+    for pace_s, next_percent in [*attempt.pace_changes, (end_s, 100)]:
         until_s = min(pace_s, end_s)
-        # A paced span is split by its pace: the work done in it, and the delay.
+        # A paced span is split by its pace into the work done and the delay.
         worked_s = (until_s - at_s) * percent / 100
         spans.append(Span(AT_WORK, at_s, at_s + worked_s))
         spans.append(Span(PACED, at_s + worked_s, until_s))
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/main.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/main.py
@@ -1,4 +1,4 @@
-"""Be the binary ``hornbeampaddle``: operators' and callers' commands."""
+"""Entry point of ``hornbeampaddle``, the operators' and callers' command line."""
 
 import os
 import sys
@@ -25,15 +25,15 @@
 
 HELP = """Operate and use the hornbeampaddle scheduler.
 
-Exit codes: 0 done, 2 bad arguments, 3 refused and nothing done, 4 it may have
-taken effect, 5 the instance cannot be reached.
+Exit codes: 0 success, 2 invalid arguments, 3 refused without effect, 4 may have
+taken effect, 5 instance unreachable.
 """
 
 
 @cappa.command(name="hornbeampaddle", help=HELP)
 @dataclass
 class Main:
-    """Choose the command."""
+    """The subcommands."""
 
     command: cappa.Subcommands[
         PlanCommand
@@ -65,7 +65,7 @@
     except KeyboardInterrupt:
         sys.exit(130)
     except BrokenPipeError:
-        # The reader has seen enough, as ``head`` has. What is still buffered
-        # must not be written at exit.
+        # The reader has closed the pipe, as ``head`` does. Buffered output must not
+        # be written at exit.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         sys.exit(141)
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/story.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/story.py
@@ -1,9 +1,9 @@
 """
-Tell one request's story from the logs of many instances.
+Trace one request through the logs of many instances.
 
 Lines may come from any number of processes and in any order, with or without a
-prefix in front of the JSON. The cause is derived from what was logged; where the
-log does not show one, the story says so.
+prefix before the JSON. The cause of the outcome is derived from the logged events;
+where the logs show none, the story says so.
 """
 
 import json
@@ -11,7 +11,7 @@
 from dataclasses import dataclass, field
 from typing import Any
 
-# Events about the whole cell that explain what happened to a request meanwhile.
+# Events of the whole cell that can explain what happened to a request.
 CELL_EVENTS = (
     "holder: began",
     "holder: lost",
@@ -21,19 +21,19 @@
     "lease_over",
     "worker_rests",
 )
-# Cell events this long before a request's first line still count.
-BEFORE_S = 5.0
-# A task that waited longer than this waited for room or for a holder.
-LONG_WAIT_S = 0.5
-# Of a failed request, where the logs of some instances are missing.
-UNNAMED = "failed: the lines that tell which task are not in these logs"
+# Cell events up to this long before a request's first line are included.
+CELL_EVENTS_LEAD_S = 5.0
+# A task that waits longer than this is waiting for free capacity or for a holder.
+LONG_WAIT_MIN_S = 0.5
+# Cause of a failed request where the logs of some instances are missing.
+FAILED_TASK_NOT_LOGGED = "failed: the lines that tell which task are not in these logs"
 
 Line = dict[str, Any]
 
 
 @dataclass(frozen=True, slots=True)
 class Story:
-    """A request's lines in time order, what the cell did meanwhile, the cause."""
+    """A request's log lines in time order, concurrent cell events and the cause."""
 
     job_id: str
     cause: str
@@ -42,7 +42,7 @@
 
 
 def parse(texts: Iterable[str]) -> list[Line]:
-    """Return the log lines that can be read, in time order."""
+    """Return the valid log lines in time order; others are skipped."""
     lines: list[Line] = []
     for text in texts:
         start = text.find('{"event"')
@@ -57,12 +57,12 @@
     return sorted(lines, key=lambda line: line["timestamp"])
 
 
-def tell(lines: list[Line], job_id: str) -> Story:
-    """Return the story of one request."""
+def build_story(lines: list[Line], job_id: str) -> Story:
+    """Return the log lines of one request and the cause of its outcome."""
     own = [line for line in lines if _concerns(line, job_id)]
     if not own:
         return Story(job_id, "no line of these logs names this request")
-    begin_s = own[0]["timestamp"] - BEFORE_S
+    begin_s = own[0]["timestamp"] - CELL_EVENTS_LEAD_S
     end_s = own[-1]["timestamp"]
     around = [
         line
@@ -84,19 +84,19 @@
     finished = _events(own, "job_finished")
     if finished and finished[-1]["status"] == "failed":
         if finished[-1]["why"] == "crashes_workers":
-            return _crashed(own)
-        return _failed(own)
+            return _crash_cause(own)
+        return _failure_cause(own)
     if finished and finished[-1]["status"] == "cancelled":
         return "cancelled: a caller asked for it"
     accepted = [
         line for line in _events(own, "submit: answered") if line["stored"] == "yes"
     ]
     if not accepted and not _events(own, "start"):
-        return _refused(own)
-    return _slow(own, around, finished)
+        return _refusal_cause(own)
+    return _delay_cause(own, around, finished)
 
 
-def _refused(own: list[Line]) -> str:
+def _refusal_cause(own: list[Line]) -> str:
     answers = _events(own, "submit: answered")
     if any(line["stored"] == "unknown" for line in answers):
         return (
@@ -112,37 +112,37 @@
     return "never accepted: no instance of these logs answered it"
 
 
-def _crashed(own: list[Line]) -> str:
+def _crash_cause(own: list[Line]) -> str:
     suspected = _events(own, "crash_suspected")
     if not suspected:
-        return UNNAMED
-    task, workers = _most_hit(suspected)
+        return FAILED_TASK_NOT_LOGGED
+    task, workers = _most_frequent_task(suspected)
     return (
         f"failed: task {task} was started as {len(workers)} workers crashed, "
         f"{', '.join(workers)}; it is not started again"
     )
 
 
-def _most_hit(lines: list[Line]) -> tuple[str, list[str]]:
-    """Return the task with the most lines, and the workers that they name."""
+def _most_frequent_task(lines: list[Line]) -> tuple[str, list[str]]:
+    """Return the task with the most lines, and the workers named in them."""
     by_task: dict[str, list[str]] = {}
     for line in lines:
         by_task.setdefault(_task(line), []).append(line["worker"])
     return max(by_task.items(), key=lambda item: len(item[1]))
 
 
-def _failed(own: list[Line]) -> str:
+def _failure_cause(own: list[Line]) -> str:
     failures = [line for line in _events(own, "run_ended") if line["how"] == "failed"]
     if not failures:
-        return UNNAMED
-    task, workers = _most_hit(failures)
+        return FAILED_TASK_NOT_LOGGED
+    task, workers = _most_frequent_task(failures)
     return (
         f"failed: task {task} failed {len(workers)} times, "
         f"on {', '.join(workers)}; that is all its attempts"
     )
 
 
-def _slow(own: list[Line], around: list[Line], finished: list[Line]) -> str:
+def _delay_cause(own: list[Line], around: list[Line], finished: list[Line]) -> str:
     changes = _events(around, "holder: began")
     released = _events(own, "run_released")
     waits = [line["waited_s"] for line in _events(own, "start")]
@@ -151,9 +151,11 @@
         names = ", ".join(line["instance"] for line in changes)
         reasons.append(f"the holder of the cell changed (to {names})")
     if released:
-        whys = sorted({line["why"] for line in released})
-        reasons.append(f"{len(released)} runs were given up ({', '.join(whys)})")
-    if waits and max(waits) > LONG_WAIT_S:
+        release_reasons = sorted({line["why"] for line in released})
+        reasons.append(
+            f"{len(released)} runs were given up ({', '.join(release_reasons)})"
+        )
+    if waits and max(waits) > LONG_WAIT_MIN_S:
         reasons.append(f"tasks waited up to {max(waits)} s for a worker")
     unplaced = _events(own, "job_waits")
     if unplaced:
@@ -172,8 +174,8 @@
     return "/".join(str(part) for part in line["task"][1:])
 
 
-def one_line(line: Line, begin_s: float) -> str:
-    """Return a log line as a person reads it, with its time since the first."""
+def format_line(line: Line, begin_s: float) -> str:
+    """Format a log line for people, with its time since ``begin_s``."""
     hidden = {"event", "level", "instance", "timestamp", "job"}
     fields = " ".join(
         f"{name}={_task(line) if name == 'task' else value}"
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/tables.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/tables.py
@@ -1,4 +1,4 @@
-"""Print values as tables for people or as JSON for programs."""
+"""Print values as text tables or as JSON."""
 
 import json
 from collections.abc import Iterable, Sequence
@@ -26,8 +26,8 @@
     return str(value)
 
 
-def show(value: Any, as_json: bool, columns: Sequence[str], key: str) -> None:
-    """Print ``value[key]``, a list of rows by name, or the whole value as JSON."""
+def print_rows(value: Any, as_json: bool, columns: Sequence[str], key: str) -> None:
+    """Print the rows ``value[key]`` as a table, or the entire value as JSON."""
     if as_json:
         print(json.dumps(value))
         return
--- a/packages/hornbeampaddle-cli/hornbeampaddle_cli/testbed.py
+++ b/packages/hornbeampaddle-cli/hornbeampaddle_cli/testbed.py
@@ -1,7 +1,7 @@
 """
-Start stand-ins and entry instances together, on loopback, in one process.
+Run simulated workers and platform with entry instances in one process, on loopback.
 
-The demo, the benchmarks and the tests at the sockets share it.
+Shared by the demo, the benchmarks and the tests that use real sockets.
 """
 
 import asyncio
@@ -45,7 +45,7 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Return different ports that were free a moment ago."""
+    """Return distinct ports; each was free when it was probed."""
     with ExitStack() as stack:
         probes = [stack.enter_context(socket.socket()) for _ in range(count)]
         for probe in probes:
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DataCentrePlan:
-    """How many workers and entry instances a data centre gets."""
+    """The workers and entry instances of one data centre."""
 
     name: str
     workers: int
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True)
 class Testbed:
-    """Stand-ins for the platform, and entry instances by id."""
+    """A simulated platform, and entry instances by id."""
 
     __test__ = False
 
@@ -86,12 +86,12 @@
     platform: PlatformServer | None = None
 
     async def start(self) -> None:
-        """Start everything."""
+        """Start the platform, the workers and the entry instances."""
         self.platform = PlatformServer(self.log, self.instance_list)
         await self.platform.start()
         for plan in self.plans:
             await self._start_workers(plan)
-            self._settle_settings(plan)
+            self._prepare_settings(plan)
         for instance_id in self.settings:
             await self.start_instance(instance_id)
 
@@ -108,8 +108,8 @@
                 rack=f"{plan.name}-r{number // plan.rack_size}",
                 capacity=capacity,
             )
-            # Clocks that differ by far more than any deadline: nothing may
-            # depend on their agreeing.
+            # The clocks differ by far more than any deadline, because nothing may
+            # depend on synchronized clocks.
             offset_s = 1000.0 * (number + 1)
             server = WorkerServer(worker, self.ledger, self.times, offset_s)
             server.machine.checkpoints = checkpoints
@@ -117,7 +117,7 @@
             self.workers[worker.worker_id] = server
             self.instance_list.put(server.worker)
 
-    def _settle_settings(self, plan: DataCentrePlan) -> None:
+    def _prepare_settings(self, plan: DataCentrePlan) -> None:
         names = [f"{plan.name}-e{number}" for number in range(plan.instances)]
         ports = dict(zip(names, free_ports(len(names)), strict=True))
         for name in names:
@@ -126,9 +126,11 @@
                 for other in names
                 if other != name
             ]
-            self.settings[name] = self._settings(name, plan.name, ports[name], peers)
+            self.settings[name] = self._build_settings(
+                name, plan.name, ports[name], peers
+            )
 
-    def _settings(
+    def _build_settings(
         self, name: str, data_centre: str, peer_port: int, peers: list[dict[str, Any]]
     ) -> Settings:
         assert self.platform is not None
@@ -158,14 +160,14 @@
         return Settings.model_validate_json(text)
 
     async def start_instance(self, instance_id: str) -> Instance:
-        """Start an instance, or start it again in a new life."""
+        """Start an instance, or restart it as a new incarnation."""
         instance = Instance(self.settings[instance_id])
         self.addresses[instance_id] = await instance.start()
         self.instances[instance_id] = instance
         return instance
 
     async def kill_instance(self, instance_id: str) -> None:
-        """Stop an instance at once, as when its process dies."""
+        """Stop an instance abruptly, as if its process had crashed."""
         instance = self.instances.pop(instance_id)
         del self.addresses[instance_id]
         await instance.stop()
@@ -178,11 +180,11 @@
         del self.addresses[instance_id]
 
     async def kill_worker(self, worker_id: str) -> None:
-        """Take a worker down; the instance list still names it for a while."""
+        """Kill a worker; the instance list still contains it for a while."""
         await self.workers[worker_id].kill()
 
     async def stop(self) -> None:
-        """Stop everything."""
+        """Stop the entry instances, the workers and the platform."""
         await asyncio.gather(*(i.stop() for i in self.instances.values()))
         for worker in self.workers.values():
             await worker.server.close()
@@ -191,5 +193,5 @@
 
 
 def slot_needs() -> Needs:
-    """Return what one slot of the testbed's service holds."""
+    """Return the resources that one slot of the testbed's service reserves."""
     return Needs(2000, 4 * GIB, 0)
--- a/packages/hornbeampaddle/hornbeampaddle/cell/placing.py
+++ b/packages/hornbeampaddle/hornbeampaddle/cell/placing.py
@@ -29,7 +29,7 @@
 # Preference of a serving task for workers that serve its own job or image, in
 # thousandths of a core of free CPU. The load of a job's tasks rises and falls together,
 # so a worker that serves a single job has room for fillers while that load is low.
-KIN_MILLIS = 200_000
+SIMILARITY_WEIGHT_MILLIS = 200_000
 # Similarity of a task with the same image but of another job, relative to a task of the
 # same job.
 SAME_IMAGE_WEIGHT = 0.6
@@ -169,7 +169,7 @@
             return FILLER_CPU_WEIGHT * self.outlook.gain_millis(
                 worker, kind, self.step.need.cpu_millis
             )
-        return KIN_MILLIS * _similarity(
+        return SIMILARITY_WEIGHT_MILLIS * _similarity(
             self.job_id, self.step.image, worker, self.model
         )
 
