--- a/packages/hornbeampaddle-wire/hornbeampaddle_wire/__init__.py
+++ b/packages/hornbeampaddle-wire/hornbeampaddle_wire/__init__.py
@@ -1,6 +1,6 @@
 """
-Carry messages: HTTP by h11, peer messages by pynng, bodies by msgspec.
+Transport messages: HTTP with h11, peer messages with pynng, bodies with msgspec.
 
-Nothing here decides anything. The daemon, the command line and the stand-ins
-share it.
+This package makes no scheduling decisions. The daemon, the command line and the
+stand-ins share it.
 """
--- a/packages/hornbeampaddle-wire/hornbeampaddle_wire/bodies.py
+++ b/packages/hornbeampaddle-wire/hornbeampaddle_wire/bodies.py
@@ -1,4 +1,4 @@
-"""Turn the library's values into the platform's HTTP bodies and back."""
+"""Convert between the library's types and the platform's HTTP bodies."""
 
 from hornbeampaddle.contracts import (
     Attempt,
@@ -26,12 +26,12 @@
 
 
 def needs_from(body: NeedsBody) -> Resources:
-    """Read an amount of resources."""
+    """Return the amount of resources in a body."""
     return Resources(body.cpu_millis, body.memory_bytes, body.accelerators)
 
 
 def order_from(body: OrderBody) -> TaskOrder:
-    """Read a task order."""
+    """Return the task order in a body."""
     return TaskOrder(
         AttemptId.parse(body.attempt),
         body.owner,
@@ -90,7 +90,7 @@
 
 
 def report_from(body: ReportBody) -> WorkerReport:
-    """Read a worker's report."""
+    """Return the worker's report in a body."""
     return WorkerReport(
         body.worker_id,
         body.epoch,
@@ -116,7 +116,7 @@
 
 
 def machine_from(body: MachineBody) -> Worker:
-    """Read a worker's entry in the instance list."""
+    """Return the worker of an entry in the instance list."""
     return Worker(
         body.worker_id,
         Address(body.host, body.port),
@@ -130,7 +130,7 @@
 
 
 def machine_body(worker: Worker) -> MachineBody:
-    """Return a worker's entry in the instance list."""
+    """Return the body of a worker's entry in the instance list."""
     return MachineBody(
         worker.worker_id,
         worker.address.host,
--- a/packages/hornbeampaddle-wire/hornbeampaddle_wire/http_client.py
+++ b/packages/hornbeampaddle-wire/hornbeampaddle_wire/http_client.py
@@ -1,9 +1,9 @@
 """
 Call one HTTP/1.1 server over a bounded pool of connections.
 
-Every call ends in one value that says how far it came: nothing sent, sent with
-no whole answer, answer cut short, or a whole answer. A connection is used
-again only after a whole exchange that left nothing behind.
+Every call returns a value that tells how far it got: nothing sent, sent without a
+complete response, response truncated, or a complete response. A connection is reused
+only after a complete exchange that left no unread data.
 """
 
 import asyncio
@@ -18,16 +18,16 @@
 
 from .http_messages import CutShort, Exchange, NoResponse, NotSent, Request, Response
 
-READ_BYTES = 64 * 1024
-RESPONSE_HEAD_BYTES = 32 * 1024
-# A pooled connection older than this is not trusted: something between the two
-# ends may have lost track of it, and a request on it would get no answer.
+READ_CHUNK_BYTES = 64 * 1024
+RESPONSE_HEAD_BYTES_MAX = 32 * 1024
+# Pooled connections that have been idle for longer are not reused: a network device on
+# the path may have dropped their state, and a request would get no response.
 IDLE_MAX_S = 15.0
 UNBOUNDED = sys.maxsize
 
 
 @dataclass(slots=True, eq=False)
-class _Pooled:
+class _PooledConnection:
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
     idle_since_s: float
@@ -40,7 +40,7 @@
 
 @dataclass(slots=True)
 class HttpTraffic:
-    """Calls and bytes since the start; several clients may share one count."""
+    """Counts of calls and bytes since the start; clients may share them."""
 
     calls: int = 0
     sent_bytes: int = 0
@@ -60,7 +60,7 @@
         """Start with no open connections."""
         self.connections_max = connections_max
         self.open_count = 0
-        self._idle: OrderedDict[_Pooled, HttpClient] = OrderedDict()
+        self._idle: OrderedDict[_PooledConnection, HttpClient] = OrderedDict()
 
     def reserve(self) -> None:
         """Count a new connection; close idle ones while over the limit."""
@@ -69,17 +69,17 @@
             pooled, client = next(iter(self._idle.items()))
             client.discard_idle(pooled)
 
-    def release(self, pooled: _Pooled | None) -> None:
+    def release(self, pooled: _PooledConnection | None) -> None:
         """Stop counting a closed connection; ``None`` if it failed to open."""
         self.open_count -= 1
         if pooled is not None:
             self._idle.pop(pooled, None)
 
-    def mark_idle(self, pooled: _Pooled, client: "HttpClient") -> None:
+    def mark_idle(self, pooled: _PooledConnection, client: "HttpClient") -> None:
         """Make a connection eligible for closing at the limit."""
         self._idle[pooled] = client
 
-    def mark_in_use(self, pooled: _Pooled) -> None:
+    def mark_in_use(self, pooled: _PooledConnection) -> None:
         """Protect a connection from closing at the limit."""
         self._idle.pop(pooled, None)
 
@@ -98,7 +98,7 @@
     )
     # Whether the budget may close idle connections at its limit.
     evictable: bool = True
-    _idle: deque[_Pooled] = field(default_factory=deque)
+    _idle: deque[_PooledConnection] = field(default_factory=deque)
     _open: int = 0
     _waiters: deque[asyncio.Future[None]] = field(default_factory=deque)
 
@@ -106,13 +106,13 @@
         return self.clock() if self.clock else asyncio.get_running_loop().time()
 
     async def call(self, request: Request, timeout_s: float) -> Exchange:
-        """Make one exchange; never raises for what the other end does."""
-        pooled: _Pooled | None = None
+        """Make one exchange; failures of the network or the server do not raise."""
+        pooled: _PooledConnection | None = None
         sent = False
         whole = False
         try:
             async with asyncio.timeout(timeout_s):
-                pooled = await self._take()
+                pooled = await self._acquire()
                 sent = True
                 self.traffic.calls += 1
                 response = await _exchange(
@@ -125,9 +125,9 @@
         except (OSError, EOFError) as error:
             return NoResponse(repr(error)) if sent else NotSent(repr(error))
         finally:
-            self._put(pooled, whole)
+            self._release(pooled, whole)
 
-    async def _take(self) -> _Pooled:
+    async def _acquire(self) -> _PooledConnection:
         while self._open >= self.connections_max and not self._idle:
             waiter: asyncio.Future[None] = asyncio.get_running_loop().create_future()
             self._waiters.append(waiter)
@@ -135,7 +135,7 @@
                 await waiter
             except asyncio.CancelledError:
                 if waiter.done() and not waiter.cancelled():
-                    self._wake()
+                    self._wake_waiter()
                 raise
         now_s = self._now_s()
         while self._idle:
@@ -148,19 +148,19 @@
         self.budget.reserve()
         try:
             reader, writer = await asyncio.open_connection(
-                self.address.host, self.address.port, limit=READ_BYTES
+                self.address.host, self.address.port, limit=READ_CHUNK_BYTES
             )
         except BaseException:
             self._open -= 1
             self.budget.release(None)
-            self._wake()
+            self._wake_waiter()
             raise
-        return _Pooled(reader, writer, now_s)
+        return _PooledConnection(reader, writer, now_s)
 
-    async def _still_usable(self, pooled: _Pooled, now_s: float) -> bool:
-        # Guards against a request sent into a connection that the other end has
-        # closed: its fate would be unknown. One turn of the loop lets an end that
-        # has already come in show.
+    async def _still_usable(self, pooled: _PooledConnection, now_s: float) -> bool:
+        # Prevents sending a request on a connection that the server has closed: its
+        # outcome would be unknown. One iteration of the event loop processes an end of
+        # file that has already been received.
         try:
             await asyncio.sleep(0)
         except asyncio.CancelledError:
@@ -168,12 +168,12 @@
             raise
         return pooled.usable(now_s)
 
-    def _discard(self, pooled: _Pooled) -> None:
+    def _discard(self, pooled: _PooledConnection) -> None:
         self._open -= 1
         self.budget.release(pooled)
         pooled.writer.transport.abort()
 
-    def _put(self, pooled: _Pooled | None, whole: bool) -> None:
+    def _release(self, pooled: _PooledConnection | None, whole: bool) -> None:
         if pooled is None:
             return
         if whole and not pooled.writer.is_closing():
@@ -182,38 +182,43 @@
             if self.evictable:
                 self.budget.mark_idle(pooled, self)
         else:
-            # Guards against an answer that reaches the wrong caller: whatever
-            # is still on its way on this connection must never be read.
+            # Prevents a late response from reaching the wrong caller: data that is
+            # still in transit on this connection must never be read.
             self._discard(pooled)
-        self._wake()
+        self._wake_waiter()
 
-    def _wake(self) -> None:
+    def _wake_waiter(self) -> None:
         while self._waiters:
             waiter = self._waiters.popleft()
             if not waiter.done():
                 waiter.set_result(None)
                 return
 
-    def discard_idle(self, pooled: _Pooled) -> None:
+    def discard_idle(self, pooled: _PooledConnection) -> None:
         """Close an idle connection and remove it from the pool."""
         self._idle.remove(pooled)
         self._discard(pooled)
 
     def close(self) -> None:
-        """Drop all idle connections."""
+        """Close all idle connections."""
         while self._idle:
             self._discard(self._idle.pop())
 
 
 async def _exchange(
-    pooled: _Pooled, request: Request, response_bytes: int, traffic: HttpTraffic
+    pooled: _PooledConnection,
+    request: Request,
+    response_bytes: int,
+    traffic: HttpTraffic,
 ) -> Response | NoResponse | CutShort:
-    state = h11.Connection(h11.CLIENT, max_incomplete_event_size=RESPONSE_HEAD_BYTES)
-    named = dict(request.headers)
+    state = h11.Connection(
+        h11.CLIENT, max_incomplete_event_size=RESPONSE_HEAD_BYTES_MAX
+    )
+    extra_headers = dict(request.headers)
     headers = [
-        ("host", named.pop("host", "worker")),
+        ("host", extra_headers.pop("host", "worker")),
         ("content-length", str(len(request.body))),
-        *named.items(),
+        *extra_headers.items(),
     ]
     head = h11.Request(method=request.method, target=request.path, headers=headers)
     chunks = [state.send(head), state.send(h11.Data(data=request.body))]
@@ -226,7 +231,10 @@
 
 
 async def _read_response(
-    pooled: _Pooled, state: h11.Connection, response_bytes: int, traffic: HttpTraffic
+    pooled: _PooledConnection,
+    state: h11.Connection,
+    response_bytes: int,
+    traffic: HttpTraffic,
 ) -> Response | NoResponse | CutShort:
     head: h11.Response | None = None
     parts: list[bytes] = []
@@ -239,7 +247,7 @@
                 return NoResponse(str(error))
             return CutShort(str(error))
         if event is h11.NEED_DATA:
-            data = await pooled.reader.read(READ_BYTES)
+            data = await pooled.reader.read(READ_CHUNK_BYTES)
             traffic.received_bytes += len(data)
             state.receive_data(data)
         elif isinstance(event, h11.Response):
@@ -250,19 +258,19 @@
             if size_bytes > response_bytes:
                 return CutShort("the answer is larger than the limit")
         elif isinstance(event, h11.EndOfMessage) and head is not None:
-            return _whole(pooled, state, head, b"".join(parts))
+            return _complete_response(pooled, state, head, b"".join(parts))
         elif isinstance(event, h11.ConnectionClosed):
             return NoResponse("connection closed")
 
 
-def _whole(
-    pooled: _Pooled, state: h11.Connection, head: h11.Response, body: bytes
+def _complete_response(
+    pooled: _PooledConnection, state: h11.Connection, head: h11.Response, body: bytes
 ) -> Response | CutShort:
     headers = {n.decode("ascii"): v.decode("latin-1") for n, v in head.headers}
     framed = "content-length" in headers or "transfer-encoding" in headers
     if not framed and body:
-        # Without a length the end of the body is the end of the connection,
-        # which a cut connection shows as well.
+        # Without a length, the body ends when the connection closes, which cannot be
+        # distinguished from a connection that broke.
         return CutShort("the answer has no length")
     if state.trailing_data[0] or state.their_state is not h11.DONE:
         pooled.writer.transport.abort()
--- a/packages/hornbeampaddle-wire/hornbeampaddle_wire/http_messages.py
+++ b/packages/hornbeampaddle-wire/hornbeampaddle_wire/http_messages.py
@@ -9,7 +9,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """A whole request. Header names are in lower case."""
+    """A complete request. Header names are in lower case."""
 
     method: str
     path: str
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Response:
-    """A whole response. Header names are in lower case."""
+    """A complete response. Header names are in lower case."""
 
     status: int
     body: bytes = b""
@@ -30,21 +30,21 @@
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
-    """No byte of the request left this process."""
+    """No byte of the request was sent."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class NoResponse:
-    """Some of the request was sent and no whole response came back."""
+    """At least part of the request was sent, but no complete response was received."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class CutShort:
-    """A response began and ended before its end."""
+    """A response began, but could not be received completely."""
 
     detail: str
 
--- a/packages/hornbeampaddle-wire/hornbeampaddle_wire/http_server.py
+++ b/packages/hornbeampaddle-wire/hornbeampaddle_wire/http_server.py
@@ -1,9 +1,9 @@
 """
-Serve HTTP/1.1 on one listener, with bounds on everything a peer can send.
+Serve HTTP/1.1 on one listener, with limits on everything that a client can send.
 
-Each connection is one task that owns its socket and its h11 state. A request
-is read whole, handed to the handler, and its response written before the next
-one is read.
+Each connection is one task that owns its socket and its h11 state. A request is read
+completely and passed to the handler, and its response is written before the next
+request is read.
 """
 
 import asyncio
@@ -19,12 +19,12 @@
 
 from .http_messages import Request, Response
 
-READ_BYTES = 64 * 1024
+READ_CHUNK_BYTES = 64 * 1024
 HEAD_END = b"\r\n\r\n"
 BARE_LF = re.compile(rb"(?<!\r)\n")
-# Before a listener and before connections without a request are closed: several turns
-# of the event loop, in which what has arrived by then is taken in.
-LAST_LOOK_S = 0.05
+# Delay before the listener is closed, and again before idle connections are closed:
+# several iterations of the event loop, in which data that has arrived is read.
+DRAIN_READ_WINDOW_S = 0.05
 FOLDED_LINE = re.compile(rb"\r\n[ \t]")
 
 log = structlog.get_logger()
@@ -45,71 +45,71 @@
 
 
 class BadRequest(Exception):
-    """A request that is refused before any handler sees it."""
+    """A request that is rejected before it reaches the handler."""
 
     def __init__(self, status: int, detail: str) -> None:
-        """Keep the response status and a sentence for the caller."""
+        """Store the response status and a description of the error for the caller."""
         super().__init__(detail)
         self.status = status
         self.detail = detail
 
 
 class ConnectionClosed(Exception):
-    """The peer closed the connection, or idled for too long."""
+    """The peer closed the connection or exceeded the idle timeout."""
 
 
 def error_response(status: int, reason: str, detail: str) -> Response:
-    """Return a JSON error that a program can match and a person can read."""
+    """Return a JSON error with a machine-readable reason and a readable detail."""
     body = msgspec.json.encode({"error": reason, "detail": detail})
     return Response(status, body)
 
 
 class HttpServer:
-    """One listener and its connections."""
+    """An HTTP server with one listener and its connections."""
 
     def __init__(self, name: str, limits: HttpLimits, handler: Handler) -> None:
-        """Keep what the listener needs; ``name`` is the prefix of its logs."""
+        """Create a server; ``name`` is the prefix of its log messages."""
         self.name = name
         self.limits = limits
         self.handler = handler
         self.stopping = False
-        # Set while the process is about to end: requests are still served, and
-        # each answer closes its connection, so that callers move on by then.
-        self.last_answers = False
+        # Set during shutdown: requests are still served, but each connection is closed
+        # after its response, so that callers have moved on before the process ends.
+        self.close_after_response = False
         self._server: asyncio.Server | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._idle: set[asyncio.Task[None]] = set()
 
     async def start(self, address: Address) -> Address:
-        """Listen; return the address, with the port that was given if 0."""
+        """Start to listen; return the address, with the assigned port if 0."""
         self._server = await asyncio.start_server(
-            self._accept, address.host, address.port, limit=READ_BYTES
+            self._accept, address.host, address.port, limit=READ_CHUNK_BYTES
         )
         port = self._server.sockets[0].getsockname()[1]
         return Address(address.host, port)
 
     async def drain(self, timeout_s: float) -> int:
         """
-        Accept no more, let requests in flight end; return how many did not.
+        Stop accepting, wait for active requests; return how many did not finish.
 
-        Guards against requests that end without an answer because they had arrived
-        and were not read: after a busy moment, connections that look idle may not be.
-        They are looked at once more, and each answer closes its connection.
+        Ensures that requests that have arrived but have not been read get a response:
+        under load, connections that appear idle may have unread data. They are read
+        once more, and each connection is closed after its response.
         """
-        self.last_answers = True
-        # Connections that wait to be accepted are, by an open server: one that closes
-        # while it accepts leaves the new connection open with nobody to read it.
-        await asyncio.sleep(LAST_LOOK_S)
+        self.close_after_response = True
+        # Accept the pending connections while the server is still open: if it closes
+        # while accepting, the new connection stays open but is never read.
+        await asyncio.sleep(DRAIN_READ_WINDOW_S)
         if self._server is not None:
             self._server.close()
-        await asyncio.sleep(LAST_LOOK_S)
+        await asyncio.sleep(DRAIN_READ_WINDOW_S)
         self.stopping = True
         for task in list(self._idle):
             task.cancel()
         busy = [task for task in self._tasks if task not in self._idle]
         if busy:
-            left_s = max(0.0, timeout_s - 2 * LAST_LOOK_S)
-            await asyncio.wait(busy, timeout=left_s)
+            remaining_s = max(0.0, timeout_s - 2 * DRAIN_READ_WINDOW_S)
+            await asyncio.wait(busy, timeout=remaining_s)
         return sum(1 for task in busy if not task.done())
 
     async def close(self) -> None:
@@ -134,8 +134,8 @@
         try:
             await connection.serve()
         except asyncio.CancelledError:
-            # asyncio's stream server logs a cancelled connection task as an
-            # error; the cancellation is ours and complete.
+            # asyncio's stream server logs a cancelled connection task as an error; here
+            # this server cancelled it, and nothing is left to do.
             pass
         finally:
             self._tasks.discard(task)
@@ -143,7 +143,7 @@
             writer.transport.abort() if connection.failed else writer.close()
 
     def mark_idle(self, idle: bool) -> None:
-        """Note whether the current connection waits for its next request."""
+        """Record whether the current connection is waiting for a request."""
         task = asyncio.current_task()
         if task is None:
             return
@@ -172,19 +172,19 @@
         self.peer = Address(host, port)
 
     async def serve(self) -> None:
-        """Serve requests until the peer closes or breaks the protocol."""
+        """Serve requests until the peer closes or violates the protocol."""
         try:
             while not self.server.stopping:
-                if not await self._serve_one():
+                if not await self._serve_request():
                     return
         except ConnectionClosed:
             return
         except (ConnectionError, TimeoutError):
             self.failed = True
 
-    async def _serve_one(self) -> bool:
-        # A new h11 state for each request: what the last one left over is in
-        # ``buffer`` and passes through the same checks as fresh bytes.
+    async def _serve_request(self) -> bool:
+        # A new h11 state for each request: data left over from the last one is in
+        # ``buffer`` and passes the same checks as newly received data.
         state = h11.Connection(
             h11.SERVER, max_incomplete_event_size=self.limits.header_bytes
         )
@@ -197,18 +197,18 @@
             await self._refuse(state, BadRequest(error.error_status_hint, str(error)))
             return False
         response = await self._handle(request)
-        closing = self.server.stopping or self.server.last_answers
-        keep = state.their_state is h11.DONE and not closing
-        await self._write(state, response, keep)
+        closing = self.server.stopping or self.server.close_after_response
+        keep_alive = state.their_state is h11.DONE and not closing
+        await self._write(state, response, keep_alive)
         self.buffer = state.trailing_data[0]
-        return keep and state.our_state is h11.DONE
+        return keep_alive and state.our_state is h11.DONE
 
     async def _handle(self, request: Request) -> Response:
         try:
             return await self.server.handler(request)
         except Exception:
-            # Only a broken invariant gets here. The caller learns that the
-            # fate of its request is not known; the listener goes on.
+            # Only a broken invariant gets here. Status 500 tells the caller
+            # that the outcome of its request is unknown; the server continues.
             log.exception(f"{self.server.name}: Handler failed.", path=request.path)
             return error_response(500, "internal_error", "the instance's log says why")
 
@@ -219,11 +219,11 @@
         event = state.next_event()
         if not isinstance(event, h11.Request):
             raise BadRequest(400, "the request has no complete head")
-        headers = _headers_of(event)
+        headers = _decode_headers(event)
         self._check_length(headers)
         if state.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self.writer.write(state.send(go_on) or b"")
+            continue_response = h11.InformationalResponse(status_code=100, headers=[])
+            self.writer.write(state.send(continue_response) or b"")
         body = await self._read_body(state)
         return Request(
             event.method.decode("ascii"),
@@ -234,14 +234,14 @@
         )
 
     async def _read_head(self) -> bytes:
-        """Fill ``buffer`` up to the end of a head and return the head."""
+        """Read into ``buffer`` up to the end of a head and return the head."""
         if not self.buffer:
             await self._wait_for_first_byte()
         async with asyncio.timeout(self.limits.head_timeout_s):
             while HEAD_END not in self.buffer:
                 if len(self.buffer) > self.limits.header_bytes:
                     raise BadRequest(431, "the request's head is too large")
-                self.buffer += await self._read_some()
+                self.buffer += await self._read_chunk()
         head = self.buffer[: self.buffer.index(HEAD_END) + len(HEAD_END)]
         if len(head) > self.limits.header_bytes:
             raise BadRequest(431, "the request's head is too large")
@@ -251,14 +251,14 @@
         self.server.mark_idle(True)
         try:
             async with asyncio.timeout(self.limits.idle_timeout_s):
-                self.buffer = await self._read_some()
+                self.buffer = await self._read_chunk()
         except TimeoutError:
             raise ConnectionClosed from None
         finally:
             self.server.mark_idle(False)
 
-    async def _read_some(self) -> bytes:
-        data = await self.reader.read(READ_BYTES)
+    async def _read_chunk(self) -> bytes:
+        data = await self.reader.read(READ_CHUNK_BYTES)
         if not data:
             raise ConnectionClosed
         return data
@@ -266,8 +266,8 @@
     def _check_length(self, headers: dict[str, str]) -> None:
         length = headers.get("content-length")
         if length is not None and "transfer-encoding" in headers:
-            # Guards against request smuggling: two parties that read different
-            # ends of the body would take its rest for another request.
+            # Prevents request smuggling: if two parties disagree on where the body
+            # ends, one of them treats the rest of it as another request.
             raise BadRequest(400, "both content-length and transfer-encoding are set")
         if length is not None and int(length) > self.limits.body_bytes:
             raise BadRequest(413, f"the body exceeds {self.limits.body_bytes} bytes")
@@ -279,7 +279,7 @@
             while True:
                 event = state.next_event()
                 if event is h11.NEED_DATA:
-                    state.receive_data(await self._read_some())
+                    state.receive_data(await self._read_chunk())
                 elif isinstance(event, h11.Data):
                     parts.append(bytes(event.data))
                     size_bytes += len(event.data)
@@ -295,19 +295,19 @@
             self.failed = True
             return
         try:
-            await self._write(state, response, keep=False)
+            await self._write(state, response, keep_alive=False)
         except h11.LocalProtocolError:
             self.failed = True
 
     async def _write(
-        self, state: h11.Connection, response: Response, keep: bool
+        self, state: h11.Connection, response: Response, keep_alive: bool
     ) -> None:
         headers = [
             ("content-type", response.content_type),
             ("content-length", str(len(response.body))),
             *response.headers.items(),
         ]
-        if not keep:
+        if not keep_alive:
             headers.append(("connection", "close"))
         head = h11.Response(status_code=response.status, headers=headers)
         chunks = [state.send(head), state.send(h11.Data(data=response.body))]
@@ -318,14 +318,14 @@
 
 
 def _check_head(head: bytes) -> None:
-    """Refuse line ends and folds that other parsers read differently."""
+    """Reject line endings and folded headers that parsers interpret differently."""
     if BARE_LF.search(head):
         raise BadRequest(400, "a line of the head ends without a carriage return")
     if FOLDED_LINE.search(head):
         raise BadRequest(400, "a header is folded over several lines")
 
 
-def _headers_of(event: h11.Request) -> dict[str, str]:
+def _decode_headers(event: h11.Request) -> dict[str, str]:
     headers: dict[str, str] = {}
     for raw_name, raw_value in event.headers:
         name = raw_name.decode("ascii")
--- a/packages/hornbeampaddle-wire/hornbeampaddle_wire/peer_requests.py
+++ b/packages/hornbeampaddle-wire/hornbeampaddle_wire/peer_requests.py
@@ -1,10 +1,10 @@
 """
-Ask peers and answer peers, over pynng.
+Send requests to peers and respond to theirs, over pynng.
 
-Each process pulls messages at one address and pushes to the addresses of its peers.
-A request names its number and where the answer goes. Request sockets of the library
-would do that by themselves, but end the process when one of their contexts is closed
-while an answer is awaited on another.
+Each process has a pull socket at one address and pushes to the addresses of its peers.
+A request contains its number and the address for the response. pynng's request sockets
+provide this, but crash the process when one of their contexts is closed while another
+waits for a response.
 """
 
 import asyncio
@@ -20,23 +20,23 @@
 
 log = structlog.get_logger()
 
-# Requests of peers that are answered side by side; each may wait for one long read.
-# Beyond it they are dropped, and the peer asks another.
-SERVED_AT_ONCE = 32
+# Maximum number of peers' requests that are handled concurrently; each may wait for one
+# long-polling read. Further requests are dropped, and the peer asks another instance.
+CONCURRENT_REQUESTS_MAX = 32
 # A page of newest records and a read of the log are at most about 1 MB.
 MESSAGE_BYTES_MAX = 4 * 1024 * 1024
 RECONNECT_MIN_MS = 100
 RECONNECT_MAX_MS = 1000
-# Messages that wait for a connection; a peer that is away loses them.
+# Messages queued per connection; those to an unreachable peer are lost.
 SEND_BUFFER_MESSAGES = 32
-# Connections to peers that are kept: a relay asks three of them for one call.
-PEERS_KEPT = 8
+# Maximum number of open connections to peers: a relay asks three peers for one call.
+PEER_CONNECTIONS_MAX = 8
 
 Handler = Callable[[bytes], Awaitable[bytes]]
 
 
 class Envelope(msgspec.Struct, array_like=True, frozen=True):
-    """One message: a request, or the answer to the request of that number."""
+    """One message: a request, or the response to the request with that number."""
 
     number: int
     host: str
@@ -51,44 +51,47 @@
 
 @dataclass(slots=True)
 class PeerChannel:
-    """Requests to peers and from them; ``handler`` answers those that come in."""
+    """A channel for requests to and from peers; ``handler`` serves theirs."""
 
     address: Address
     handler: Handler
-    _pull: pynng.Pull0 | None = None
-    _pushes: dict[Address, pynng.Push0] = field(default_factory=dict)
-    _asked: dict[int, asyncio.Future[bytes]] = field(default_factory=dict)
+    _pull_socket: pynng.Pull0 | None = None
+    _push_sockets: dict[Address, pynng.Push0] = field(default_factory=dict)
+    _pending: dict[int, asyncio.Future[bytes]] = field(default_factory=dict)
     _serving: set[asyncio.Task[None]] = field(default_factory=set)
     _numbers: "itertools.count[int]" = field(default_factory=lambda: itertools.count(1))
 
     def listen(self) -> None:
         """Listen for peers; raises ``pynng.AddressInUse``."""
-        self._pull = pynng.Pull0(
+        self._pull_socket = pynng.Pull0(
             listen=f"tcp://{self.address}", recv_max_size=MESSAGE_BYTES_MAX
         )
 
     async def run(self) -> None:
-        """Take messages until cancelled."""
-        assert self._pull is not None
+        """Receive messages until cancelled."""
+        assert self._pull_socket is not None
         try:
             while True:
-                self._take(await self._pull.arecv())
+                self._handle_message(await self._pull_socket.arecv())
         finally:
             self.close()
 
-    def _take(self, data: bytes) -> None:
+    def _handle_message(self, data: bytes) -> None:
         try:
             envelope = _decoder.decode(data)
         except msgspec.MsgspecError as error:
-            log.error("peer: message not understood", error=str(error))
+            log.error("peer: cannot decode message", error=str(error))
             return
         if envelope.answer:
-            asked = self._asked.get(envelope.number)
+            asked = self._pending.get(envelope.number)
             if asked is not None and not asked.done():
                 asked.set_result(envelope.data)
             return
-        if len(self._serving) >= SERVED_AT_ONCE:
-            log.warning("peer: request dropped", serving=len(self._serving))
+        if len(self._serving) >= CONCURRENT_REQUESTS_MAX:
+            log.warning(
+                "peer: request dropped, too many in progress",
+                serving=len(self._serving),
+            )
             return
         task = asyncio.create_task(self._serve(envelope))
         self._serving.add(task)
@@ -100,37 +103,38 @@
         self._push(Address(request.host, request.port), answer)
 
     async def call(self, address: Address, data: bytes, timeout_s: float) -> bytes:
-        """Return a peer's answer; empty if none came in time."""
+        """Return a peer's response; empty if none arrived before the timeout."""
         number = next(self._numbers)
         asked: asyncio.Future[bytes] = asyncio.get_running_loop().create_future()
-        self._asked[number] = asked
-        own = self.address
+        self._pending[number] = asked
+        own_address = self.address
         try:
             if not self._push(
-                address, Envelope(number, own.host, own.port, False, data)
+                address,
+                Envelope(number, own_address.host, own_address.port, False, data),
             ):
                 return b""
             async with asyncio.timeout(timeout_s):
                 return await asked
         except TimeoutError:
             log.info("peer: no answer", peer=str(address), timeout_s=timeout_s)
-            self._drop(address)
+            self._disconnect(address)
             return b""
         finally:
-            del self._asked[number]
+            del self._pending[number]
 
     def _push(self, address: Address, envelope: Envelope) -> bool:
-        """Send without waiting; return whether the message was taken."""
+        """Send without blocking; return whether the socket accepted the message."""
         try:
             self._socket(address).send(_encode(envelope), block=False)
         except pynng.NNGException as error:
-            log.info("peer: not sent", peer=str(address), error=repr(error))
-            self._drop(address)
+            log.info("peer: message not sent", peer=str(address), error=repr(error))
+            self._disconnect(address)
             return False
         return True
 
     def _socket(self, address: Address) -> pynng.Push0:
-        socket = self._pushes.pop(address, None)
+        socket = self._push_sockets.pop(address, None)
         if socket is None:
             socket = pynng.Push0(
                 dial=f"tcp://{address}",
@@ -139,24 +143,24 @@
                 reconnect_time_min=RECONNECT_MIN_MS,
                 reconnect_time_max=RECONNECT_MAX_MS,
             )
-        self._pushes[address] = socket
-        if len(self._pushes) > PEERS_KEPT:
-            self._drop(next(iter(self._pushes)))
+        self._push_sockets[address] = socket
+        if len(self._push_sockets) > PEER_CONNECTIONS_MAX:
+            self._disconnect(next(iter(self._push_sockets)))
         return socket
 
-    def _drop(self, address: Address) -> None:
-        # Guards against a connection that went silent: what is pushed into it would
-        # never arrive, while a new one works.
-        socket = self._pushes.pop(address, None)
+    def _disconnect(self, address: Address) -> None:
+        # Handles connections that failed silently: messages sent on them would never
+        # arrive, while a new connection works.
+        socket = self._push_sockets.pop(address, None)
         if socket is not None:
             socket.close()
 
     def close(self) -> None:
-        """Stop listening and drop all connections."""
+        """Stop listening and close all connections."""
         for task in self._serving:
             task.cancel()
-        for address in list(self._pushes):
-            self._drop(address)
-        if self._pull is not None:
-            self._pull.close()
-            self._pull = None
+        for address in list(self._push_sockets):
+            self._disconnect(address)
+        if self._pull_socket is not None:
+            self._pull_socket.close()
+            self._pull_socket = None
--- a/packages/hornbeampaddle-wire/hornbeampaddle_wire/peers.py
+++ b/packages/hornbeampaddle-wire/hornbeampaddle_wire/peers.py
@@ -1,8 +1,8 @@
 """
 Send and receive peer messages over pynng, authenticated and numbered.
 
-Sending never waits: a peer that is away loses messages, and every protocol
-above repeats what must arrive.
+Sending never blocks: messages to an unreachable peer are lost, and the protocols built
+on this retransmit those that must arrive.
 """
 
 import asyncio
@@ -47,7 +47,7 @@
 
 @dataclass(slots=True)
 class PeerSockets:
-    """The sockets of one entry instance towards its data centre's others."""
+    """The sockets of one entry instance to its peers in the same data centre."""
 
     data_centre: str
     incarnation: str
@@ -57,19 +57,19 @@
     _listener: pynng.Pull0 | None = None
     _dialers: dict[str, pynng.Push0] = field(default_factory=dict)
     _numbers: dict[str, int] = field(default_factory=dict)
-    _passed: dict[str, int] = field(default_factory=dict)
+    _last_numbers: dict[str, int] = field(default_factory=dict)
     _task: asyncio.Task[None] | None = None
-    _refused: set[str] = field(default_factory=set)
+    _logged_refusals: set[str] = field(default_factory=set)
 
     def listen(self, address: Address) -> None:
-        """Start to receive."""
+        """Listen and start to receive messages."""
         self._listener = pynng.Pull0(
             listen=f"tcp://{address}", recv_max_size=RECEIVE_BYTES_MAX
         )
         self._task = asyncio.create_task(self._receive())
 
     def dial(self, instance_id: str, address: Address) -> None:
-        """Keep a connection to a peer, whenever it can be reached."""
+        """Open a connection to a peer; it reconnects automatically."""
         self._dialers[instance_id] = pynng.Push0(
             dial=f"tcp://{address}",
             block_on_dial=False,
@@ -79,7 +79,7 @@
         )
 
     def send(self, instance_id: str, message: Message) -> bool:
-        """Send a message now or not at all; tell whether it was handed over."""
+        """Send a message without blocking; return whether the socket accepted it."""
         number = self._numbers.get(instance_id, 0) + 1
         self._numbers[instance_id] = number
         envelope = Envelope(
@@ -94,7 +94,7 @@
         return True
 
     def _push(self, instance_id: str, data: bytes) -> bool:
-        """Hand bytes to the socket towards a peer, without waiting."""
+        """Pass data to a peer's socket without blocking."""
         dialer = self._dialers.get(instance_id)
         if dialer is None:
             return False
@@ -119,7 +119,7 @@
             self.take(data)
 
     def take(self, data: bytes) -> None:
-        """Check one received datagram and hand its message on."""
+        """Validate received data and pass its message to the receiver."""
         body = data[MAC_BYTES:]
         if not hmac.compare_digest(data[:MAC_BYTES], self._mac(body)):
             self._refuse("wrong key")
@@ -135,29 +135,29 @@
         if envelope.data_centre != self.data_centre:
             self._refuse(f"data centre {envelope.data_centre}")
             return
-        if not self._in_order(envelope):
+        if not self._accept_number(envelope):
             return
         try:
             self.receiver(envelope.incarnation, envelope.message)
         except Exception:
-            # Only a broken invariant gets here; one message must not end the
-            # task that receives all of them.
-            log.exception("peers: Message failed.", sender=envelope.incarnation)
-
-    def _in_order(self, envelope: Envelope) -> bool:
-        # Guards against an order that was held up on an old connection and
-        # comes in after newer ones: an attempt that its owner has given up on
-        # would be adopted again. Numbers only grow, so it is dropped.
-        passed = self._passed.get(envelope.incarnation, 0)
-        if envelope.number <= passed:
+            # Only a broken invariant gets here; one message must not end the task that
+            # receives all messages.
+            log.exception("peers: Message handler failed.", sender=envelope.incarnation)
+
+    def _accept_number(self, envelope: Envelope) -> bool:
+        # Drops messages that were delayed on an old connection and arrive after newer
+        # ones: a late order would cause an attempt that its owner has given up on to be
+        # adopted again. Sequence numbers only increase.
+        last_number = self._last_numbers.get(envelope.incarnation, 0)
+        if envelope.number <= last_number:
             return False
-        self._passed[envelope.incarnation] = envelope.number
+        self._last_numbers[envelope.incarnation] = envelope.number
         return True
 
     def _refuse(self, why: str) -> None:
         self.traffic.dropped += 1
-        if why not in self._refused and len(self._refused) < 100:
-            self._refused.add(why)
+        if why not in self._logged_refusals and len(self._logged_refusals) < 100:
+            self._logged_refusals.add(why)
             log.warning("peers: Message refused.", why=why)
 
     def _mac(self, data: bytes) -> bytes:
@@ -165,7 +165,7 @@
         return digest[:MAC_BYTES]
 
     def close(self) -> None:
-        """Close all sockets at once."""
+        """Close all sockets immediately."""
         if self._task is not None:
             self._task.cancel()
         if self._listener is not None:
--- a/packages/hornbeampaddle-wire/hornbeampaddle_wire/platform.py
+++ b/packages/hornbeampaddle-wire/hornbeampaddle_wire/platform.py
@@ -1,8 +1,8 @@
 """
 Define the bodies that the platform's HTTP interfaces exchange.
 
-These models stand for what is known of the platform; docs/PLATFORM.md lists
-what is assumed. Only the adapters and the stand-ins read them.
+These models represent what is known of the platform; docs/PLATFORM.md lists the
+assumptions. Only the adapters and the stand-ins use them.
 """
 
 from msgspec import Struct
@@ -17,7 +17,7 @@
 
 
 class OrderBody(Struct, frozen=True):
-    """A task order; ``attempt`` is the text form of its id."""
+    """A task order; ``attempt`` is the text form of the attempt's ID."""
 
     attempt: str
     owner: str
@@ -32,13 +32,13 @@
 
 
 class ClaimBody(Struct, frozen=True):
-    """Ask for a new epoch."""
+    """Request a new epoch from a worker."""
 
     decider: str
 
 
 class StartBody(Struct, frozen=True):
-    """Start an attempt under a lease on the worker's clock."""
+    """Start an attempt; its lease deadline is on the worker's clock."""
 
     epoch: int
     order: OrderBody
@@ -46,7 +46,7 @@
 
 
 class StopBody(Struct, frozen=True):
-    """Stop an attempt, with a checkpoint first if asked."""
+    """Stop an attempt, after a checkpoint if ``checkpoint`` is set."""
 
     epoch: int
     attempt: str
@@ -54,7 +54,7 @@
 
 
 class RenewBody(Struct, frozen=True):
-    """Extend leases, forget acknowledged ends, ask for a report."""
+    """Renew leases, discard acknowledged ends and request a report."""
 
     epoch: int
     attempts: tuple[str, ...]
@@ -63,7 +63,7 @@
 
 
 class AttemptBody(Struct, frozen=True):
-    """One attempt in a report; ``ending`` is empty while it runs."""
+    """One attempt in a report; ``ending`` is empty while the attempt runs."""
 
     order: OrderBody
     state: str
@@ -74,7 +74,7 @@
 
 
 class ReportBody(Struct, frozen=True):
-    """A worker's answer to a claim or a renewal."""
+    """A worker's response to a claim or a renewal."""
 
     worker_id: str
     epoch: int
@@ -88,13 +88,13 @@
 
 
 class StartedBody(Struct, frozen=True):
-    """The attempt runs, or has run."""
+    """The attempt is running or has already run."""
 
     clock_s: float
 
 
 class StoppedBody(Struct, frozen=True):
-    """The attempt is over."""
+    """The attempt has ended."""
 
     clock_s: float
     ending: str
@@ -102,26 +102,26 @@
 
 
 class FencedBody(Struct, frozen=True):
-    """A later epoch is in force."""
+    """A later epoch than the request's is in force."""
 
     epoch: int
     decider: str
 
 
 class RefusedBody(Struct, frozen=True):
-    """The worker refused; nothing was started."""
+    """The worker refused the request and started nothing."""
 
     reason: str
 
 
 class AppendBody(Struct, frozen=True):
-    """Records to append, as encoded by their writer."""
+    """Records to append, in the writer's encoding."""
 
     records: tuple[bytes, ...]
 
 
 class AppendedBody(Struct, frozen=True):
-    """The offset of the first record appended."""
+    """The offset of the first appended record."""
 
     offset: int
 
@@ -135,10 +135,10 @@
 
 class PageBody(Struct, frozen=True):
     """
-    Some records of a stream.
+    A page of a stream's records.
 
-    ``oldest_offset`` is the oldest record kept, ``next_offset`` the offset that
-    the next append will get.
+    ``oldest_offset`` is the offset of the oldest retained record, ``next_offset`` that
+    of the next record to be appended.
     """
 
     entries: tuple[EntryBody, ...]
