--- a/bench/cell_gaps.py
+++ b/bench/cell_gaps.py
@@ -80,9 +80,9 @@
 
 
 async def _slow_store(world: World) -> None:
-    world.store.answer_s *= 60
+    world.store.round_trip_s *= 60
     await asyncio.sleep(OUTAGE_S)
-    world.store.answer_s /= 60
+    world.store.round_trip_s /= 60
 
 
 FAULTS: dict[str, Callable[[World], Awaitable[None]]] = {
@@ -123,11 +123,11 @@
     await asyncio.sleep(OBSERVATION_S)
     load.cancel()
     await asyncio.sleep(10.0)
-    starts = world.judge.started_at_s
+    starts = world.checker.started_at_s
     within = [at_s for at_s in starts if begun_s - 1 < at_s < begun_s + OBSERVATION_S]
     gaps = [after - before for before, after in zip(within, within[1:], strict=False)]
-    lost = world.judge.starts - len(world.judge.done)
-    broken = len(world.judge.broken)
+    lost = world.checker.starts - len(world.checker.done)
+    broken = len(world.checker.broken)
     await world.close()
     return FaultCost(max(gaps, default=OBSERVATION_S), lost, broken)
 
--- a/features/steps/advice_steps.py
+++ b/features/steps/advice_steps.py
@@ -87,13 +87,13 @@
 
 @then('it ran only on "{one}" and "{other}"')
 def ran_on(context, one, other):
-    used = {name for name, w in context.world.workers.items() if w.highest}
+    used = {name for name, w in context.world.workers.items() if w.highest_number}
     assert used and used <= {one, other}, used
 
 
 @then("nobody was asked again about a worker that may not run the step")
 def asked_once(context):
-    used = {name for name, w in context.world.workers.items() if w.highest}
+    used = {name for name, w in context.world.workers.items() if w.highest_number}
     others = [name for name in context.asked if name not in used]
     assert others and len(others) == len(set(others)), others
 
--- a/features/steps/cell_steps.py
+++ b/features/steps/cell_steps.py
@@ -83,7 +83,7 @@
         return 8.0 if filling == "heavy" else 0.0
 
     for worker in context.world.workers.values():
-        worker.slopes = slope
+        worker.slope_of = slope
 
 
 @when('a job "{name}" of {steps:d} steps of {tasks:d} tasks is handed in')
@@ -232,14 +232,14 @@
 
 @then("no promise of the cell was broken")
 def promises(context):
-    broken = context.world.judge.broken
+    broken = context.world.checker.broken
     assert not broken, broken[:5]
 
 
 @then("no task was started more often than needed")
 def starts(context):
-    judge = context.world.judge
-    assert judge.starts == len(judge.done), (judge.starts, len(judge.done))
+    checker = context.world.checker
+    assert checker.starts == len(checker.done), (checker.starts, len(checker.done))
 
 
 @then("exactly 1 instance believes that it holds the cell")
@@ -276,12 +276,12 @@
 
 @then("nothing has started")
 def nothing_started(context):
-    assert context.world.judge.starts == 0
+    assert context.world.checker.starts == 0
 
 
 @then("serving tasks were over their target for less than {seconds_s:g} task-seconds")
 def over_target(context, seconds_s):
-    over_s = context.world.judge.over_target_s
+    over_s = context.world.checker.over_target_s
     assert over_s < seconds_s, over_s
 
 
--- a/features/steps/compared_days_steps.py
+++ b/features/steps/compared_days_steps.py
@@ -11,13 +11,18 @@
 from hornbeampaddle.cell.scheduler import Scheduler
 from hornbeampaddle_standins.cell.demand import Demand, DemandSettings
 from hornbeampaddle_standins.cell.emulator import Emulator
-from hornbeampaddle_standins.cell.loads import BREAKING, EVACUATED, HOSTILE, OVERFULL
+from hornbeampaddle_standins.cell.loads import (
+    BREAKING,
+    EVACUATED,
+    FILLER_OVERLOAD,
+    HOSTILE,
+)
 
 DAYS = {
     "fillers that all disturb somebody": DemandSettings(
-        pressing_ratio=1.0, batch_per_s=4.0
+        disturbing_ratio=1.0, batch_per_s=4.0
     ),
-    "more for fillers than fits": OVERFULL,
+    "more for fillers than fits": FILLER_OVERLOAD,
     "fillers that disturb most images": HOSTILE,
     "tasks that crash and workers that shrink": BREAKING,
     "data centres that are evacuated": EVACUATED,
@@ -107,7 +112,7 @@
 @then("a fifth more cores are open to fillers over a swing than {change}")
 def opened(context, change):
     got, other = (
-        sum(emulator.open_cores() for emulator in context.days(name))
+        sum(emulator.usable_filler_cores() for emulator in context.days(name))
         for name in ("as it is", change)
     )
     assert got >= 1.2 * other, (got, other)
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -20,8 +20,8 @@
 
 
 @given("workers that crash stay away")
-def crashes_dark(context):
-    context.world.crashes_dark = True
+def crashes_silent(context):
+    context.world.crashes_silent = True
 
 
 @given("crashing tasks crash after {after_s:g} s")
@@ -81,12 +81,12 @@
 def out_of_reach(context, seconds_s):
     world = context.world
     play(context, asyncio.sleep(2.0))
-    world.faults.cut |= {(i, w) for i in world.instances for w in world.workers}
+    world.faults.partitioned |= {(i, w) for i in world.instances for w in world.workers}
     play(context, asyncio.sleep(3.0))
     for name in world.workers:
         act(context, world.unlist_worker, name)
     play(context, asyncio.sleep(seconds_s))
-    world.faults.cut.clear()
+    world.faults.partitioned.clear()
     for worker in world.workers.values():
         act(context, world.list_worker, worker)
     play(context, asyncio.sleep(3.0))
@@ -209,11 +209,11 @@
     world = context.world
 
     async def next_crash(seen):
-        await world.until(lambda: world.judge.crashes.total() > seen, 15)
+        await world.until(lambda: world.checker.crashes.total() > seen, 15)
 
     async def kill_again_and_again():
         for number in range(times):
-            await next_crash(world.judge.crashes.total())
+            await next_crash(world.checker.crashes.total())
             await asyncio.sleep(HOLDER_AFTER_S[number % len(HOLDER_AFTER_S)])
             name = world.holder()
             if name is None:
@@ -240,10 +240,10 @@
         return status
 
     status = play(context, wait())
-    assert status is JobStatus.FAILED, (status, world.judge.crashes)
+    assert status is JobStatus.FAILED, (status, world.checker.crashes)
 
 
 @then("at most {most:d} workers crashed")
 def workers_crashed(context, most):
-    crashes = context.world.judge.crashes
+    crashes = context.world.checker.crashes
     assert crashes.total() <= most, crashes
--- a/features/steps/emulated_day_steps.py
+++ b/features/steps/emulated_day_steps.py
@@ -24,7 +24,7 @@
 @given("an emulated day with seed {seed:d} and fillers that all disturb somebody")
 def pressing_day(context, seed):
     context.day = lambda: Emulator(
-        Demand(seed, DemandSettings(pressing_ratio=1.0, batch_per_s=4.0))
+        Demand(seed, DemandSettings(disturbing_ratio=1.0, batch_per_s=4.0))
     )
 
 
@@ -32,7 +32,9 @@
     "an emulated day with seed {seed:d} where all fillers disturb all serving images"
 )
 def closed_day(context, seed):
-    settings = DemandSettings(pressing_ratio=1.0, both_ratio=1.0, batch_per_s=4.0)
+    settings = DemandSettings(
+        disturbing_ratio=1.0, two_resource_ratio=1.0, batch_per_s=4.0
+    )
     context.day = lambda: Emulator(Demand(seed, settings))
 
 
@@ -81,7 +83,7 @@
 
 @given("an emulated day of {count:d} workers with more for fillers than fits")
 def large_day(context, count):
-    settings = replace(LARGE, workers=count, pressing_ratio=1.0, batch_per_s=30.0)
+    settings = replace(LARGE, workers=count, disturbing_ratio=1.0, batch_per_s=30.0)
     context.scored = Counter()
 
     def day():
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -55,8 +55,8 @@
 
 
 @step('the data centre "{name}" is taken back')
-def take_back(context, name):
-    act(context, context.world.take_back, name)
+def end_evacuation(context, name):
+    act(context, context.world.end_evacuation, name)
 
 
 @when('a {kind} job "{name}" of {tasks:d} tasks is handed in')
@@ -97,7 +97,7 @@
 
 @then('tasks of "{name}" have started')
 def some_started(context, name):
-    begun = context.world.judge.begun_at_s
+    begun = context.world.checker.begun_at_s
     assert any(key.job_id == job_id(name) for key in begun)
 
 
--- a/features/steps/freshness_steps.py
+++ b/features/steps/freshness_steps.py
@@ -225,7 +225,7 @@
         await asyncio.sleep(1.0)
         await world.submit(KEPT_ID, URGENT, plain(1), via=context.narrow)
         assert await world.until_done(KEPT_ID, 8.0)
-        world.store.unread.add((context.narrow, Topic.OPERATOR))
+        world.store.unanswered_reads.add((context.narrow, Topic.OPERATOR))
 
     play(context, run_kept())
 
--- a/features/steps/job_steps.py
+++ b/features/steps/job_steps.py
@@ -269,7 +269,7 @@
 @step('the first task of the job "{job_id}" crashes its workers')
 def crashes(context, job_id):
     for machine in context.scene.machines.values():
-        machine.crashed_by.add(f"{job_id}/0")
+        machine.crashing_tasks.add(f"{job_id}/0")
 
 
 @when('the owner of "{job_id}" dies after each of the first {times:d} attempts')
--- a/features/steps/ledger_steps.py
+++ b/features/steps/ledger_steps.py
@@ -44,7 +44,7 @@
 def unread_jobs(context):
     world = context.world
     context.other = next(n for n in world.instances if n != world.holder())
-    world.store.unread.add((context.other, Topic.JOBS))
+    world.store.unanswered_reads.add((context.other, Topic.JOBS))
 
 
 @when("only one instance reads jobs, and it is not the holder")
@@ -52,7 +52,7 @@
     world = context.world
     context.reader = next(n for n in world.instances if n != world.holder())
     others = [n for n in world.instances if n != context.reader]
-    world.store.unread |= {(name, Topic.JOBS) for name in others}
+    world.store.unanswered_reads |= {(name, Topic.JOBS) for name in others}
     # The silence of reads takes a second to begin: the one on its way is answered.
     play(context, asyncio.sleep(1.5))
 
@@ -72,7 +72,7 @@
 @when("all instances read jobs again")
 @when("the other instance reads jobs again")
 def read_jobs(context):
-    context.world.store.unread.clear()
+    context.world.store.unanswered_reads.clear()
 
 
 @when('a job "{name}" of {steps:d} steps of {tasks:d} tasks is handed in at the holder')
@@ -91,12 +91,12 @@
 
 @when("the log of jobs refuses every record")
 def refuse_jobs(context):
-    context.world.store.unwritten.add(Topic.JOBS)
+    context.world.store.read_only.add(Topic.JOBS)
 
 
 @when("the log of jobs takes records again")
 def take_jobs(context):
-    context.world.store.unwritten.clear()
+    context.world.store.read_only.clear()
 
 
 @then('neither the log nor any instance keeps anything of the job "{name}"')
--- a/features/steps/order_steps.py
+++ b/features/steps/order_steps.py
@@ -32,13 +32,13 @@
 )
 def hand_in_cut_off(context, name, steps, tasks):
     world = context.world
-    world.faults.cut |= {(i, w) for i in world.instances for w in world.workers}
+    world.faults.partitioned |= {(i, w) for i in world.instances for w in world.workers}
     submit_job(context, name, steps, tasks, URGENT)
 
 
 @when("the workers are reached again")
 def reach_workers(context):
-    context.world.faults.cut.clear()
+    context.world.faults.partitioned.clear()
 
 
 @when("the workers are reached again but carry out no order")
@@ -76,14 +76,16 @@
 
 @then('{runs:d} runs of "{name}" began late')
 def began_late(context, runs, name):
-    spans = [s for s in context.world.judge.spans if s.key.job_id == job_id(name)]
+    spans = [s for s in context.world.checker.spans if s.key.job_id == job_id(name)]
     assert len(spans) == runs, spans
 
 
 @then("no task of a cancelled job ran on")
 def none_ran_on(context):
-    ran_on = context.world.judge.ran_on(context.loop.time())
-    assert not ran_on, ran_on
+    runs_past_cancellation = context.world.checker.runs_past_cancellation(
+        context.loop.time()
+    )
+    assert not runs_past_cancellation, runs_past_cancellation
 
 
 @then("no room is taken on any worker")
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -131,7 +131,7 @@
 
 @then("no span without a start was longer than {longest_s:g} s")
 def gap(context, longest_s):
-    starts = context.world.judge.started_at_s
+    starts = context.world.checker.started_at_s
     inside = [s for s in starts if context.from_s <= s <= context.until_s]
     marks = [context.from_s, *inside, context.until_s]
     gaps = [b - a for a, b in zip(marks, marks[1:], strict=False)]
--- a/features/steps/shrink_steps.py
+++ b/features/steps/shrink_steps.py
@@ -27,7 +27,7 @@
 )
 def hand_in_wide_cut_off(context, name, tasks, cores):
     world = context.world
-    world.faults.cut |= {(i, w) for i in world.instances for w in world.workers}
+    world.faults.partitioned |= {(i, w) for i in world.instances for w in world.workers}
     hand_in_wide(context, name, tasks, cores)
 
 
@@ -40,16 +40,16 @@
 @when("{what} cannot be read by anyone")
 def unread_log(context, what):
     world = context.world
-    world.store.unread |= {(name, LOGS[what]) for name in world.instances}
+    world.store.unanswered_reads |= {(name, LOGS[what]) for name in world.instances}
 
 
 @when("{what} can be read again")
 def read_log(context, what):
-    context.world.store.unread.clear()
+    context.world.store.unanswered_reads.clear()
 
 
 @then('nothing of "{name}" has started')
 def none_started(context, name):
-    begun = context.world.judge.begun_at_s
+    begun = context.world.checker.begun_at_s
     started = [key for key in begun if key.job_id == job_id(name)]
     assert not started, started
--- a/features/support/cell_walk.py
+++ b/features/support/cell_walk.py
@@ -90,9 +90,9 @@
 async def _cut(world, random):
     names = sorted(world.workers)
     pairs = {(i, w) for i in world.instances for w in random.sample(names, 2)}
-    world.faults.cut |= pairs
+    world.faults.partitioned |= pairs
     await asyncio.sleep(random.uniform(1, 14))
-    world.faults.cut -= pairs
+    world.faults.partitioned -= pairs
 
 
 async def _compact(world, random):
@@ -155,7 +155,7 @@
     name = f"dc-{random.randint(1, DATA_CENTRES)}"
     world.evacuate(name)
     await asyncio.sleep(random.uniform(1, 15))
-    world.take_back(name)
+    world.end_evacuation(name)
 
 
 FAULTS = [_kill, _kill_holder, _store, _orders, _cut, _compact, _flap, _crash]
--- a/features/support/cell_walks.py
+++ b/features/support/cell_walks.py
@@ -44,7 +44,7 @@
             for name, state in states.items()
             if not isinstance(state, JobStatus) or not state.final
         ]
-        return (world.judge.broken + wrong)[:3], open_[:3]
+        return (world.checker.broken + wrong)[:3], open_[:3]
 
     return seed, *loop.run_until_complete(go())
 
--- a/features/support/scene.py
+++ b/features/support/scene.py
@@ -94,7 +94,7 @@
         # The workers take whatever they are given, and the ledger counts it: no
         # promise may rest on a worker's own refusal of what does not fit.
         machine = WorkerMachine(
-            worker, self.ledger, checks_room=False, checkpoints=checkpoints
+            worker, self.ledger, enforces_capacity=False, checkpoints=checkpoints
         )
         rate = 1 + self.rng.uniform(-RATE_ERROR, RATE_ERROR) / 2
         offset_s = self.rng.uniform(0, 100_000)
--- a/packages/hornbeampaddle-standins/hornbeampaddle_standins/__init__.py
+++ b/packages/hornbeampaddle-standins/hornbeampaddle_standins/__init__.py
@@ -1,7 +1,7 @@
 """
-Stand in for the platform: workers, log service and instance list.
+Stand-ins for the platform: workers, log service and instance list.
 
-Each part is a state machine without I/O, driven by tests in virtual time, and
-a thin HTTP shell around it. The ledger counts what really happened; the
-product cannot write it.
+Each part is a state machine without I/O, which tests drive in virtual time, with a
+thin HTTP layer around it. The ledger records what was executed; the product cannot
+write to it.
 """
--- a/packages/hornbeampaddle-standins/hornbeampaddle_standins/__main__.py
+++ b/packages/hornbeampaddle-standins/hornbeampaddle_standins/__main__.py
@@ -18,7 +18,7 @@
 
 
 async def serve(options: argparse.Namespace) -> None:
-    """Start everything, print where it is, and serve until stopped."""
+    """Start all servers, print their addresses as JSON, and serve until stopped."""
     ledger, listed, log = Ledger(), InstanceList(), LogMachine()
     times = ServiceTimes(options.service_ms / 1000, rng=random.Random(options.seed))
     platform = PlatformServer(log, listed)
@@ -48,7 +48,7 @@
 
 
 def main() -> None:
-    """Read the options and serve."""
+    """Parse the options and serve."""
     parser = argparse.ArgumentParser(prog="hornbeampaddle_standins")
     parser.add_argument("--port", type=int, default=0, help="the platform's port")
     parser.add_argument("--workers", type=int, default=4)
--- a/packages/hornbeampaddle-standins/hornbeampaddle_standins/cell/__init__.py
+++ b/packages/hornbeampaddle-standins/hornbeampaddle_standins/cell/__init__.py
@@ -1,6 +1,6 @@
 """
-Emulate what a cell lives in: the log service, workers, callers.
+Simulated environment of a cell: the log service, the workers and the callers.
 
-All are state machines in simulated time. They judge what they see, apart from
-what the product says of itself, so that a run ends with the broken promises.
+All are state machines in simulated time. They check the product's guarantees from
+what they observe, independently of what the product reports, and list the violations.
 """
--- a/packages/hornbeampaddle-standins/hornbeampaddle_standins/cell/demand.py
+++ b/packages/hornbeampaddle-standins/hornbeampaddle_standins/cell/demand.py
@@ -1,10 +1,9 @@
 """
-Draw the load of a cell from a seed: workers, jobs, what they disturb, how long they
-really take.
+Generate the load of a cell from a seed: workers, jobs, interference and run times.
 
-A task of a serving image suffers from the fillers that press on a resource that it
-needs: one or two of a few. A filling image presses on one of them, or on none; all
-others it disturbs a little.
+Images interfere through a few contended resources. A serving image needs one or two
+of them; a filling image stresses one or none. A filling image interferes strongly with
+the serving images that need the resource it stresses, and slightly with all others.
 """
 
 import math
@@ -21,8 +20,8 @@
 GIB = 2**30
 URGENT = Queue("urgent", "compute", 0, 3, 1.5, 0.25)
 BATCH = Queue("batch", "compute", 2, 3, 2.0, 1.0)
-# The part of a swing for which a worker that shrinks holds half.
-SHRUNK_PART = 0.4
+# The fraction of each load swing for which a shrinking worker has half its CPU.
+SHRUNK_FRACTION = 0.4
 DATA_CENTRES = 3
 SERVING = Queue("serving", "compute", 0, 2, 2.2, 2.5)
 
@@ -30,9 +29,10 @@
 @dataclass(frozen=True, slots=True)
 class DemandSettings:
     """
-    The size of a load; rates are a second, ``cpu`` is thousandths of a core.
+    The parameters of a load.
 
-    The defaults are the proportions of the users' smaller deployment.
+    Rates are per second, ``cpu_millis`` are millicores. The defaults have the
+    proportions of the users' smaller deployment.
     """
 
     workers: int = 24
@@ -43,21 +43,23 @@
     serving_cpu_millis: int = 6_400
     serving_images: int = 5
     filling_images: int = 9
-    # The share of the filling images that disturb some serving image.
-    pressing_ratio: float = 0.55
-    # How many resources fillers press on, and the share of the serving images that
-    # need two of them.
+    # The share of the filling images that stress a contended resource, and so interfere
+    # with the serving images that need it.
+    disturbing_ratio: float = 0.55
+    # The number of contended resources, and the share of the serving images that need
+    # two of them.
     resources: int = 2
-    both_ratio: float = 0.4
-    # The share of the serving jobs that allow two tasks on one worker, no more, and the
-    # share of these that allow one.
-    apart_ratio: float = 0.5
-    alone_ratio: float = 0.0
-    # Loss of slack when a disturbing image fills a whole worker.
+    two_resource_ratio: float = 0.4
+    # The share of the serving jobs that limit their tasks per worker to two, and the
+    # share of these that limit them to one.
+    per_worker_max_ratio: float = 0.5
+    exclusive_ratio: float = 0.0
+    # The slack lost when a filling image that stresses a needed resource fills a whole
+    # worker.
     slope: float = 4.5
-    # ... and when any other image does.
-    light_slope: float = 0.0
-    # A target is this many times the tail of a task that has no load.
+    # The slack lost when any other filling image fills a whole worker.
+    background_slope: float = 0.0
+    # Target latency / tail latency of a task without load.
     target_ratio: float = 5.0
     load: float = 0.45
     swing: float = 0.5
@@ -78,31 +80,31 @@
     urgent_worth: float = 0.4
     serving_worth: float = 0.35
     fail_ratio: float = 0.04
-    # How far estimates are off, as the spread of their logarithm.
+    # The standard deviation of the logarithm of estimate / actual time.
     estimate_spread: float = 0.6
-    # The share of the urgent and batch jobs of which one task crashes its workers.
+    # The share of the urgent and batch jobs that have a task that crashes its workers.
     crash_ratio: float = 0.0
-    # The share of the workers that hold half for a part of each swing.
+    # The share of the workers that have half their CPU for a part of each swing.
     shrink_ratio: float = 0.0
-    # The part of each swing in which one of the three data centres is evacuated.
+    # The fraction of each swing for which one of the three data centres is evacuated.
     evacuated_part: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Submission:
-    """A job that a caller hands in, ``at_s`` after the load began."""
+    """A job submitted ``at_s`` after the load began, worth ``worth`` credits."""
 
     at_s: float
     job: Job
     kind: str
     worth: float
-    # The true seconds of one task of each step.
+    # The actual run time of a task, by step.
     work_s: tuple[float, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class Work:
-    """What one run will turn out to be."""
+    """The actual run time of one run, and whether it fails."""
 
     work_s: float
     fails: bool
@@ -110,25 +112,25 @@
 
 @dataclass(slots=True)
 class Demand:
-    """The whole load of one seed."""
+    """The load generated from one seed."""
 
     seed: int
     settings: DemandSettings = field(default_factory=DemandSettings)
     _random: Random = field(init=False)
     _noise: Random = field(init=False)
     _needs: dict[str, frozenset[int]] = field(default_factory=dict)
-    _presses: dict[str, tuple[int, float]] = field(default_factory=dict)
+    _interference: dict[str, tuple[int, float]] = field(default_factory=dict)
     _phases: dict[str, float] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Draw the images."""
+        """Draw the resources and the interference slopes of the images."""
         settings = self.settings
         self._random = Random(self.seed)
         self._noise = Random(self.seed + 1)
         for number in range(settings.serving_images):
             first = self._random.randrange(settings.resources)
             needed = frozenset({first})
-            if self._random.random() < settings.both_ratio:
+            if self._random.random() < settings.two_resource_ratio:
                 second = (first + 1 + number % (settings.resources - 1)) % (
                     settings.resources
                 )
@@ -136,10 +138,10 @@
             self._needs[f"serve-{number}"] = needed
         for number in range(settings.filling_images):
             resource = -1
-            if self._random.random() < settings.pressing_ratio:
+            if self._random.random() < settings.disturbing_ratio:
                 resource = self._random.randrange(settings.resources)
             slope = settings.slope * self._random.uniform(0.7, 1.5)
-            self._presses[f"fill-{number}"] = (resource, slope)
+            self._interference[f"fill-{number}"] = (resource, slope)
 
     @property
     def target_ratio(self) -> float:
@@ -148,51 +150,51 @@
 
     def slope(self, serving: str, filling: str) -> float:
         """Return the slack that a serving image loses per worker filled."""
-        resource, slope = self._presses[filling]
+        resource, slope = self._interference[filling]
         if resource in self._needs[serving]:
             return slope
-        return self.settings.light_slope
+        return self.settings.background_slope
 
     def pairs(self) -> Iterator[tuple[str, str]]:
-        """Return every serving image with every filling one."""
+        """Return all pairs of a serving and a filling image."""
         for serving in self._needs:
-            for filling in self._presses:
+            for filling in self._interference:
                 yield serving, filling
 
     def noise(self) -> float:
-        """Return the factor by which one reading is off."""
+        """Draw the factor of the measurement error of one reading."""
         return max(0.2, self._noise.gauss(1.0, self.settings.noise_ratio))
 
     def load(self, job_id: str, at_s: float) -> float:
-        """Return the load that a job's users put on each of its tasks."""
+        """Return the utilization that a job's users cause on each of its tasks."""
         settings = self.settings
         angle = 2 * math.pi * at_s / settings.swing_s + self._phases[job_id]
         return settings.load * (1 + settings.swing * math.sin(angle))
 
     def crashes(self, job_id: str) -> bool:
-        """Tell whether the first task of a job that ends crashes its workers."""
+        """Return whether the first task of a job crashes workers; never if lasting."""
         chance = Random(f"{self.seed} {job_id} crashes").random()
         return job_id not in self._phases and chance < self.settings.crash_ratio
 
     def capacity(self, number: int, whole: Resources, at_s: float) -> Resources:
-        """Return what a worker holds now of what it holds at most."""
+        """Return a worker's current capacity, given its full capacity ``whole``."""
         settings = self.settings
         if number >= settings.shrink_ratio * settings.workers:
             return whole
         turn = (at_s / settings.swing_s + number / settings.workers) % 1.0
-        if turn >= SHRUNK_PART:
+        if turn >= SHRUNK_FRACTION:
             return whole
         return replace(whole, cpu_millis=whole.cpu_millis // 2)
 
     def evacuated(self, at_s: float) -> frozenset[str]:
-        """Return the data centres in which nothing more may start now."""
+        """Return the data centres under evacuation, where no task may start."""
         turn, part = divmod(at_s / self.settings.swing_s, 1.0)
         if part >= self.settings.evacuated_part:
             return frozenset()
         return frozenset({_data_centre(int(turn))})
 
     def workers(self) -> Iterator[WorkerListing]:
-        """Return the workers: of three, one is half as large again."""
+        """Return the workers; every third one has 1.5 times the capacity."""
         settings = self.settings
         for number in range(settings.workers):
             cpu_millis = settings.worker_cpu_millis
@@ -207,8 +209,8 @@
                 frozenset({"a", f"r-{number // settings.rack_size}"}),
             )
 
-    def until(self, seconds_s: float) -> list[Submission]:
-        """Return all jobs of so many seconds, in their order."""
+    def submissions(self, seconds_s: float) -> list[Submission]:
+        """Return all submissions of a load of ``seconds_s``, in order of time."""
         settings = self.settings
         jobs = [self._serving(number) for number in range(settings.serving_jobs)]
         at_s = 2.0
@@ -239,15 +241,19 @@
 
     def _per_worker_max(self) -> int:
         settings = self.settings
-        if self._random.random() >= settings.apart_ratio:
+        if self._random.random() >= settings.per_worker_max_ratio:
             return 0
-        # No draw without the setting: loads that lack it stay as they are.
-        alone = settings.alone_ratio and self._random.random() < settings.alone_ratio
+        # Without the setting there is no second draw, so that loads that do not set it
+        # keep their random sequence.
+        alone = (
+            settings.exclusive_ratio
+            and self._random.random() < settings.exclusive_ratio
+        )
         return 1 if alone else 2
 
     def _batch(self, at_s: float, number: int) -> Submission:
         settings = self.settings
-        image = self._pick(self._presses)
+        image = self._pick(self._interference)
         saves = self._random.random() < settings.checkpoint_ratio
         return self._chain(
             f"batch{number}",
@@ -293,8 +299,10 @@
         steps = []
         works_s = []
         for position in range(length):
-            work_s = self._spread(mean_work_s, 0.5, 2.5 * mean_work_s)
-            estimate_s = self._spread(work_s, self.settings.estimate_spread, 4 * work_s)
+            work_s = self._lognormal(mean_work_s, 0.5, 2.5 * mean_work_s)
+            estimate_s = self._lognormal(
+                work_s, self.settings.estimate_spread, 4 * work_s
+            )
             steps.append(
                 Step(
                     width,
@@ -317,14 +325,14 @@
         return Submission(at_s, job, queue.name, min(4 * worth, scaled), tuple(works_s))
 
     def work(self, submission: Submission, run: Run) -> Work:
-        """Return how long a run really takes and whether it fails."""
+        """Return the actual run time of a run and whether it fails."""
         chance = Random(f"{self.seed} {run.key} {run.number}").random()
-        uneven = Random(f"{self.seed} {run.key}").uniform(0.7, 1.3)
+        task_factor = Random(f"{self.seed} {run.key}").uniform(0.7, 1.3)
         fails = chance < self.settings.fail_ratio
-        return Work(max(0.1, uneven * submission.work_s[run.key.step]), fails)
+        return Work(max(0.1, task_factor * submission.work_s[run.key.step]), fails)
 
     def objective_s(self, submission: Submission) -> float:
-        """Return the time in which a job should be done, by its true length."""
+        """Return the completion time objective, based on the actual run times."""
         queue = submission.job.queue
         chain_s = 1.15 * sum(submission.work_s)
         return queue.stretch_ratio * chain_s + queue.latency_target_s
@@ -333,20 +341,20 @@
         return self._random.choice(sorted(images))
 
     def _need(self, cpu_millis: int, spread: float) -> Resources:
-        drawn = self._spread(cpu_millis, spread, 2.0 * cpu_millis)
+        drawn = self._lognormal(cpu_millis, spread, 2.0 * cpu_millis)
         return Resources(max(50, round(drawn / 50) * 50), 2 * GIB, 0)
 
-    def _width(self, mean: float, spread: float, most: int) -> int:
-        return max(1, round(self._spread(mean, spread, most)))
+    def _width(self, mean: float, spread: float, maximum: int) -> int:
+        return max(1, round(self._lognormal(mean, spread, maximum)))
 
     def _count(self, mean: float) -> int:
-        return max(1, min(5, round(self._spread(mean, 0.4, 5))))
+        return max(1, min(5, round(self._lognormal(mean, 0.4, 5))))
 
-    def _spread(self, mean: float, spread: float, most: float) -> float:
+    def _lognormal(self, mean: float, spread: float, maximum: float) -> float:
         drawn = mean * math.exp(self._random.gauss(-spread * spread / 2, spread))
-        return min(most, drawn)
+        return min(maximum, drawn)
 
 
 def _data_centre(number: int) -> str:
-    """Return the name of one of the data centres; racks have workers in each."""
+    """Return the data centre of a worker; every rack spans all data centres."""
     return f"dc-{1 + number % DATA_CENTRES}"
--- a/packages/hornbeampaddle-standins/hornbeampaddle_standins/cell/emulator.py
+++ b/packages/hornbeampaddle-standins/hornbeampaddle_standins/cell/emulator.py
@@ -1,12 +1,12 @@
 """
-Emulate the workers of a cell and the users of what runs there, without a network.
-
-The scheduler is the real one; time passes in ticks. The workers behave as the
-users' do: a filler takes the processor time that others leave, and it disturbs
-the serving tasks beside it by an amount that differs from pair to pair of images.
-The inverse of a serving task's tail latency falls in proportion to its users' load
-and to the processor use of the fillers that disturb it, as in a queue with one
-server; that form explains the tails that the users' workers report.
+Emulate the workers of a cell and the users of its services, without a network.
+
+The scheduler is the real one; time advances in ticks. The workers behave like the
+users' workers: a filler takes the CPU time that other tasks leave, and interferes
+with the serving tasks beside it by an amount that depends on the pair of images.
+The inverse of a serving task's tail latency falls linearly with its users' load and
+with the CPU use of the fillers that interfere with it, as in a single-server queue;
+this model explains the tail latencies that the users' workers report.
 """
 
 import math
@@ -23,39 +23,41 @@
 from hornbeampaddle.resources import NOTHING, Resources
 
 from .demand import Demand, Submission
-from .workers import RESTART_S
+from .workers import RESTART_DELAY_S
 
 TICK_S = 0.1
-# From a stop to the listed end, and from a start to the first work of a task that
-# has a checkpoint; both as the users' workers take.
-STOP_S = 0.3
-RESTORE_S = 0.4
-# A serving task is at work after so long.
+# The time from a stop order to the reported end, and the time that a task takes to
+# restore its checkpoint before it does new work; both are those of the users' workers.
+STOP_DURATION_S = 0.3
+RESTORE_DURATION_S = 0.4
+# A serving task handles requests after this start-up time.
 WARM_UP_S = 0.6
-# A worker's report shows tails and uses of this long a span.
-WINDOW_S = 0.5
-# A new pace holds from here on.
+# Reported tail latencies and CPU uses are averages over this window.
+MEASURE_WINDOW_S = 0.5
+# A pace order takes effect after this delay.
 PACE_DELAY_S = 0.1
-# A serving task loses so much slack for each worker's worth of processors that is
-# asked for beyond those there are.
-CROWDED_SLOPE = 2.7
-# Tails beyond this many times the target are reported as such.
+# The slack that a serving task loses when the CPU demand on its worker exceeds the
+# capacity by one whole worker; smaller excesses count in proportion.
+OVERCOMMIT_SLOPE = 2.7
+# Reported tail latencies are capped at this multiple of the target.
 TAIL_RATIO_MAX = 20.0
-# What fillers do to a serving task costs its users several times a plain fault.
+# A tick in which fillers push a serving task over its target costs its users several
+# times as much as a tick without service.
 DISTURBED_WEIGHT = 4.0
-# Slack that fillers leave a serving task, where their use is worked out.
-OPEN_SLACK = 1.3
-# Moments of a swing that are looked at.
-MOMENTS = 12
-# Service of a lasting job is counted over spans of this length.
-SPAN_S = 2.0
-# A job is worth a part of its price up to three times its objective.
-LATE_AFTER_RATIO = 3.0
-LATE_WORTH = 0.15
+# The slack that fillers must leave each serving task in ``usable_filler_cores``.
+FILLER_SLACK_MIN = 1.3
+# The number of points in a load swing that ``usable_filler_cores`` averages over.
+SWING_SAMPLES = 12
+# The service of lasting jobs is accounted in intervals of this length.
+ACCOUNTING_INTERVAL_S = 2.0
+# A job that misses its objective still earns LATE_WORTH_RATIO of its worth if it takes
+# at most LATE_RATIO_MAX times the objective.
+LATE_RATIO_MAX = 3.0
+LATE_WORTH_RATIO = 0.15
 
 
 @dataclass(slots=True)
-class Live:
+class EmulatedRun:
     """A run on an emulated worker."""
 
     run: Run
@@ -67,7 +69,7 @@
     pace_from_s: float = 0.0
     next_pace: float = 1.0
     fails: bool = False
-    # Sums over the present window: of use in thousandths of a core x s, of tails.
+    # Sums over the current window: CPU use in millicores x s, and slack by tick.
     use_millis_s: float = 0.0
     slack_sum: float = 0.0
     ticks: int = 0
@@ -75,23 +77,27 @@
 
 
 @dataclass(slots=True)
-class Emulated:
-    """One worker: what runs there and what it will report."""
+class EmulatedWorker:
+    """One worker: its runs, and the ends that its next report lists."""
 
     listing: WorkerListing
-    runs: dict[TaskKey, Live] = field(default_factory=dict)
+    runs: dict[TaskKey, EmulatedRun] = field(default_factory=dict)
     ends: list[EndedRow] = field(default_factory=list)
     position: int = 0
     report_at_s: float = 0.0
     number: int = 0
-    # What it holds at most, and how often it was started.
+    # The full capacity, and the number of restarts after crashes.
     whole: Resources = NOTHING
-    life: int = 0
+    restarts: int = 0
 
 
 @dataclass(slots=True)
 class Earnings:
-    """What callers got of one kind of job: credits earned and owed, and jobs."""
+    """
+    The credits that one kind of job earned of those it could earn, and job counts.
+
+    ``never`` counts the jobs that came too late to earn anything or did not finish.
+    """
 
     earned: float = 0.0
     owed: float = 0.0
@@ -106,53 +112,54 @@
 
 
 class Emulator:
-    """A cell under a load; ``play`` it, then read ``earnings``."""
+    """A cell under a load: call ``play``, then read ``earnings``."""
 
     def __init__(self, demand: Demand, settings: CellSettings | None = None) -> None:
-        """Start the workers that the demand is made for."""
+        """Start the workers of ``demand`` under a scheduler with ``settings``."""
         self.demand = demand
         self.now_s = 100.0
         self.begun_at_s = self.now_s
         self.cell = Scheduler(settings or CellSettings())
-        self.workers: dict[str, Emulated] = {}
+        self.workers: dict[str, EmulatedWorker] = {}
         self.submitted: dict[str, Submission] = {}
         self.done_at_s: dict[str, float] = {}
         self.over_since_s: dict[TaskKey, float] = {}
-        # The longest time that fillers kept a serving task over its target.
+        # The longest time that fillers kept one serving task over its target, and the
+        # sum of these times over all tasks.
         self.longest_over_s = 0.0
         self.over_s = 0.0
         self.moves = 0
         self.paces = 0
         self.crashes = 0
-        # Starts that brought a worker over what it holds.
+        # Starts that exceeded a worker's capacity.
         self.overruns = 0
-        # Starts in a data centre that was evacuated.
+        # Starts in a data centre under evacuation.
         self.evacuated_starts = 0
-        self._down: list[tuple[float, Emulated]] = []
-        self._stops: list[tuple[float, StopOrder]] = []
-        self._spans: dict[str, Earnings] = defaultdict(Earnings)
-        self._span_at_s = self.now_s + SPAN_S
-        self._span: Counter[TaskKey] = Counter()
-        self._disturbed: Counter[TaskKey] = Counter()
+        self._pending_restarts: list[tuple[float, EmulatedWorker]] = []
+        self._pending_stops: list[tuple[float, StopOrder]] = []
+        self._service_earnings: dict[str, Earnings] = defaultdict(Earnings)
+        self._interval_end_s = self.now_s + ACCOUNTING_INTERVAL_S
+        self._served_ticks: Counter[TaskKey] = Counter()
+        self._disturbed_ticks: Counter[TaskKey] = Counter()
         for number, listing in enumerate(demand.workers()):
-            worker = Emulated(listing, number=number, whole=listing.capacity)
+            worker = EmulatedWorker(listing, number=number, whole=listing.capacity)
             self._add_worker(worker)
 
-    def _add_worker(self, worker: Emulated) -> None:
+    def _add_worker(self, worker: EmulatedWorker) -> None:
         self.cell.list_worker(worker.listing, self.now_s)
         self.workers[worker.listing.worker_id] = worker
         self._report(worker)
 
     def play(self, seconds_s: float) -> None:
-        """Let time pass; callers come as the demand says."""
+        """Advance the time and submit the jobs of the demand."""
         end_s = self.now_s + seconds_s
-        for submission in self.demand.until(seconds_s):
+        for submission in self.demand.submissions(seconds_s):
             self._play_until(self.begun_at_s + submission.at_s)
             self._submit(submission)
         self._play_until(end_s)
 
     def settle(self, seconds_s: float) -> None:
-        """Let time pass with no new callers."""
+        """Advance the time without new jobs."""
         self._play_until(self.now_s + seconds_s)
 
     def _play_until(self, end_s: float) -> None:
@@ -169,10 +176,10 @@
         self._resize_workers()
         self._evacuate()
         decision = self.cell.decide(self.now_s, self.now_s)
-        self._obey(decision)
+        self._carry_out(decision)
         self.now_s += TICK_S
         for worker in self.workers.values():
-            self._work(worker)
+            self._advance_worker(worker)
         self._end_stopped()
         for worker in self.workers.values():
             if worker.ends or self.now_s >= worker.report_at_s:
@@ -180,27 +187,31 @@
         for job_id, state in self.cell.jobs.items():
             if state.status is JobStatus.COMPLETED:
                 self.done_at_s.setdefault(job_id, self.now_s)
-        if self.now_s >= self._span_at_s:
-            self._close_span()
+        if self.now_s >= self._interval_end_s:
+            self._close_interval()
 
-    def _crash(self, worker: Emulated) -> None:
+    def _crash(self, worker: EmulatedWorker) -> None:
         self.crashes += 1
         name = worker.listing.worker_id
         del self.workers[name]
         self.cell.worker_silent(name, self.now_s)
-        self._down.append((self.now_s + RESTART_S, worker))
+        self._pending_restarts.append((self.now_s + RESTART_DELAY_S, worker))
 
     def _restart_workers(self) -> None:
-        due = [worker for at_s, worker in self._down if at_s <= self.now_s]
-        self._down = [entry for entry in self._down if entry[0] > self.now_s]
+        due = [worker for at_s, worker in self._pending_restarts if at_s <= self.now_s]
+        self._pending_restarts = [
+            entry for entry in self._pending_restarts if entry[0] > self.now_s
+        ]
         for worker in due:
             old_name = worker.listing.worker_id
             self.cell.worker_ended(old_name, self.now_s, "replaced")
-            life = worker.life + 1
-            name = f"{old_name.partition('+')[0]}+{life}"
+            restarts = worker.restarts + 1
+            name = f"{old_name.partition('+')[0]}+{restarts}"
             listing = replace(worker.listing, worker_id=name)
             self._add_worker(
-                Emulated(listing, number=worker.number, whole=worker.whole, life=life)
+                EmulatedWorker(
+                    listing, number=worker.number, whole=worker.whole, restarts=restarts
+                )
             )
 
     def _resize_workers(self) -> None:
@@ -218,7 +229,7 @@
 
     # Orders
 
-    def _obey(self, decision: Decision) -> None:
+    def _carry_out(self, decision: Decision) -> None:
         for run in decision.starts:
             if run.phase is not RunPhase.RECORDING:
                 continue
@@ -227,13 +238,13 @@
             if run.worker_id not in self.workers:
                 continue
             self._begin(run)
-            if self._brings_down(run):
+            if self._crashes_worker(run):
                 self._crash(self.workers[run.worker_id])
                 continue
             self.cell.orders.start_answered(run, Done(self.now_s), self.now_s)
         for order in decision.stops:
             self.cell.orders.stop_answered(order, Done(self.now_s), self.now_s)
-            self._stops.append((self.now_s + STOP_S, order))
+            self._pending_stops.append((self.now_s + STOP_DURATION_S, order))
             self.moves += order.reason == "moves_away"
         for pace in decision.paces:
             self.paces += 1
@@ -244,10 +255,10 @@
 
     def _begin(self, run: Run) -> None:
         work = self.demand.work(self.submitted[run.key.job_id], run)
-        live = Live(run, self.now_s, work.work_s, fails=work.fails)
+        live = EmulatedRun(run, self.now_s, work.work_s, fails=work.fails)
         if run.checkpoint:
             live.saved_s = float(run.checkpoint)
-            live.done_s = live.saved_s - RESTORE_S
+            live.done_s = live.saved_s - RESTORE_DURATION_S
         worker = self.workers[run.worker_id]
         worker.runs[run.key] = live
         self.evacuated_starts += worker.listing.data_centre in self.cell.evacuated
@@ -256,19 +267,21 @@
             taken = taken + other.run.charge
         self.overruns += not taken.fits_in(worker.listing.capacity)
 
-    def _brings_down(self, run: Run) -> bool:
+    def _crashes_worker(self, run: Run) -> bool:
         first = run.key.step == run.key.position == 0
         return first and self.demand.crashes(run.key.job_id)
 
-    def _live(self, run: Run) -> Live | None:
-        """Return a run that is at work, unless its worker is down."""
+    def _live(self, run: Run) -> EmulatedRun | None:
+        """Return the state of a run, or None if it ended or its worker is down."""
         worker = self.workers.get(run.worker_id)
         live = worker.runs.get(run.key) if worker is not None else None
         return live if live is not None and live.run is run else None
 
     def _end_stopped(self) -> None:
-        due = [order for at_s, order in self._stops if at_s <= self.now_s]
-        self._stops = [entry for entry in self._stops if entry[0] > self.now_s]
+        due = [order for at_s, order in self._pending_stops if at_s <= self.now_s]
+        self._pending_stops = [
+            entry for entry in self._pending_stops if entry[0] > self.now_s
+        ]
         for order in due:
             live = self._live(order.run)
             if live is not None:
@@ -277,7 +290,7 @@
                     live.saved_s = max(live.saved_s, live.done_s)
                 self._end(worker, live, EndKind.STOPPED)
 
-    def _end(self, worker: Emulated, live: Live, how: EndKind) -> None:
+    def _end(self, worker: EmulatedWorker, live: EmulatedRun, how: EndKind) -> None:
         del worker.runs[live.run.key]
         self.over_since_s.pop(live.run.key, None)
         worker.position += 1
@@ -287,9 +300,9 @@
 
     # Work
 
-    def _work(self, worker: Emulated) -> None:
+    def _advance_worker(self, worker: EmulatedWorker) -> None:
         uses = self._uses(worker)
-        crowded = CROWDED_SLOPE * max(0.0, self._asked_ratio(worker) - 1)
+        crowded = OVERCOMMIT_SLOPE * max(0.0, self._asked_ratio(worker) - 1)
         disturbing: dict[str, float] = defaultdict(float)
         for live in list(worker.runs.values()):
             step = live.run.step
@@ -302,10 +315,10 @@
             if live.run.step.tail_target_s:
                 self._serve(live, disturbing, crowded)
             elif not live.run.step.lasting:
-                self._advance(worker, live, uses[live.run.key])
+                self._advance_run(worker, live, uses[live.run.key])
 
-    def _asked_ratio(self, worker: Emulated) -> float:
-        """Return the processor time that all runs ask for, as a share of the worker."""
+    def _asked_ratio(self, worker: EmulatedWorker) -> float:
+        """Return the CPU demand of all runs, as a share of the worker's capacity."""
         asked = 0.0
         for live in worker.runs.values():
             step = live.run.step
@@ -315,8 +328,8 @@
             asked += step.need.cpu_millis * share
         return asked / worker.listing.capacity.cpu_millis
 
-    def _uses(self, worker: Emulated) -> dict[TaskKey, float]:
-        """Return the processor use of each run, in thousandths of a core."""
+    def _uses(self, worker: EmulatedWorker) -> dict[TaskKey, float]:
+        """Return the CPU use of each run, in millicores."""
         uses: dict[TaskKey, float] = {}
         taken = 0.0
         wanted = 0.0
@@ -339,7 +352,9 @@
     def _load(self, run: Run) -> float:
         return self.demand.load(run.key.job_id, self.now_s - self.begun_at_s)
 
-    def _serve(self, live: Live, disturbing: dict[str, float], crowded: float) -> None:
+    def _serve(
+        self, live: EmulatedRun, disturbing: dict[str, float], crowded: float
+    ) -> None:
         if self.now_s - live.begun_at_s < WARM_UP_S:
             return
         step = live.run.step
@@ -352,16 +367,18 @@
         slack = max(1 / TAIL_RATIO_MAX, alone - pressure - crowded)
         live.slack_sum += slack * self.demand.noise()
         live.ticks += 1
-        self._span[key] += 1
+        self._served_ticks[key] += 1
         if slack < 1 <= alone:
             self.over_s += TICK_S
-            self._disturbed[key] += 1
+            self._disturbed_ticks[key] += 1
             since_s = self.over_since_s.setdefault(key, self.now_s)
             self.longest_over_s = max(self.longest_over_s, self.now_s - since_s)
         else:
             self.over_since_s.pop(key, None)
 
-    def _advance(self, worker: Emulated, live: Live, use_millis: float) -> None:
+    def _advance_run(
+        self, worker: EmulatedWorker, live: EmulatedRun, use_millis: float
+    ) -> None:
         step = live.run.step
         rate = use_millis / step.need.cpu_millis if step.filler else 1.0
         live.use_millis_s += use_millis * TICK_S
@@ -374,7 +391,7 @@
 
     # Reports
 
-    def _report(self, worker: Emulated) -> None:
+    def _report(self, worker: EmulatedWorker) -> None:
         name = worker.listing.worker_id
         state = self.cell.workers[name]
         rows = tuple(self._row(live) for live in worker.runs.values())
@@ -392,9 +409,9 @@
             return settings.report_wait_over_s
         return settings.report_wait_s
 
-    def _row(self, live: Live) -> RunningRow:
+    def _row(self, live: EmulatedRun) -> RunningRow:
         step = live.run.step
-        if live.ticks * TICK_S >= WINDOW_S:
+        if live.ticks * TICK_S >= MEASURE_WINDOW_S:
             if step.tail_target_s:
                 slack = live.slack_sum / live.ticks
                 live.measure = 1000 * step.tail_target_s / slack
@@ -410,29 +427,33 @@
         number = live.run.number
         return RunningRow(live.run.key, number, saved, percent, live.measure)
 
-    # What callers got
+    # Earnings
 
-    def _close_span(self) -> None:
-        """Count two seconds of each lasting job's service."""
-        self._span_at_s += SPAN_S
-        ticks = round(SPAN_S / TICK_S)
+    def _close_interval(self) -> None:
+        """Account the last interval's service of each lasting job."""
+        self._interval_end_s += ACCOUNTING_INTERVAL_S
+        ticks = round(ACCOUNTING_INTERVAL_S / TICK_S)
         for job_id, state in self.cell.open_jobs.items():
             submission = self.submitted[job_id]
             if not state.job.lasting or state.status.final:
                 continue
-            served = sum(n for key, n in self._span.items() if key.job_id == job_id)
-            hurt = sum(n for key, n in self._disturbed.items() if key.job_id == job_id)
-            most = ticks * state.job.steps[0].count
-            share = (served - DISTURBED_WEIGHT * hurt) / most
-            earnings = self._spans[submission.kind]
+            served = sum(
+                n for key, n in self._served_ticks.items() if key.job_id == job_id
+            )
+            disturbed = sum(
+                n for key, n in self._disturbed_ticks.items() if key.job_id == job_id
+            )
+            ticks_max = ticks * state.job.steps[0].count
+            share = (served - DISTURBED_WEIGHT * disturbed) / ticks_max
+            earnings = self._service_earnings[submission.kind]
             earnings.owed += submission.worth
             earnings.earned += submission.worth * max(0.0, min(1.0, share))
-        self._span.clear()
-        self._disturbed.clear()
+        self._served_ticks.clear()
+        self._disturbed_ticks.clear()
 
     def earnings(self) -> dict[str, Earnings]:
-        """Return what each kind of job earned so far."""
-        result = dict(self._spans)
+        """Return the earnings so far, by kind of job."""
+        result = dict(self._service_earnings)
         for job_id, submission in self.submitted.items():
             if submission.job.lasting:
                 continue
@@ -446,33 +467,35 @@
             if took_s <= objective_s:
                 earnings.on_time += 1
                 earnings.earned += submission.worth
-            elif took_s <= LATE_AFTER_RATIO * objective_s:
+            elif took_s <= LATE_RATIO_MAX * objective_s:
                 earnings.late += 1
-                earnings.earned += LATE_WORTH * submission.worth
+                earnings.earned += LATE_WORTH_RATIO * submission.worth
             else:
                 earnings.never += 1
         return result
 
-    def open_cores(self) -> float:
+    def usable_filler_cores(self) -> float:
         """
-        Return the cores that the average filler may use over a swing of the users.
+        Return the cores usable by fillers, averaged over images and one load swing.
 
-        They are those that the serving tasks leave, as far as each of them keeps a
-        slack of ``OPEN_SLACK`` by what the demand says of the pairs of images.
+        These are the cores that the serving tasks leave, reduced so that each serving
+        task keeps a slack of ``FILLER_SLACK_MIN`` under the demand's interference.
         """
         period_s = self.demand.settings.swing_s
         now_s = self.now_s - self.begun_at_s
-        moments_s = [now_s + n * period_s / MOMENTS for n in range(MOMENTS)]
+        samples_s = [now_s + n * period_s / SWING_SAMPLES for n in range(SWING_SAMPLES)]
         fillers = sorted({filling for _, filling in self.demand.pairs()})
         total = sum(
-            self._open_at(worker, filling, at_s)
+            self._usable_millis_at(worker, filling, at_s)
             for worker in self.workers.values()
             for filling in fillers
-            for at_s in moments_s
+            for at_s in samples_s
         )
-        return total / len(fillers) / len(moments_s) / 1000
+        return total / len(fillers) / len(samples_s) / 1000
 
-    def _open_at(self, worker: Emulated, filling: str, at_s: float) -> float:
+    def _usable_millis_at(
+        self, worker: EmulatedWorker, filling: str, at_s: float
+    ) -> float:
         capacity_millis = worker.listing.capacity.cpu_millis
         used = 0.0
         limits: list[float] = []
@@ -483,7 +506,7 @@
             load = self.demand.load(key.job_id, at_s)
             used += step.need.cpu_millis * load
             slope = self.demand.slope(step.image, filling)
-            left = self.demand.target_ratio * (1 - load) - OPEN_SLACK
+            left = self.demand.target_ratio * (1 - load) - FILLER_SLACK_MIN
             if slope:
                 limits.append(max(0.0, left / slope) * capacity_millis)
         return max(0.0, min([capacity_millis - used, *limits]))
--- a/packages/hornbeampaddle-standins/hornbeampaddle_standins/cell/loads.py
+++ b/packages/hornbeampaddle-standins/hornbeampaddle_standins/cell/loads.py
@@ -1,11 +1,11 @@
-"""Name the loads by which decisions are compared."""
+"""The named loads of the benchmark that compares scheduling decisions."""
 
 from dataclasses import replace
 
 from .demand import DemandSettings
 
-# Serving tasks reserve 85 % of the processors; fillers press on one of three resources,
-# and disturb all other images a little.
+# Serving tasks reserve 85 % of the CPU; fillers stress one of three resources and
+# interfere slightly with all images that do not need it.
 CROWDED = DemandSettings(
     workers=33,
     worker_cpu_millis=64_000,
@@ -13,11 +13,11 @@
     serving_jobs=25,
     serving_cpu_millis=13_000,
     resources=3,
-    pressing_ratio=0.9,
-    both_ratio=0.6,
+    disturbing_ratio=0.9,
+    two_resource_ratio=0.6,
     slope=6.5,
-    light_slope=0.9,
-    alone_ratio=0.5,
+    background_slope=0.9,
+    exclusive_ratio=0.5,
     swing_s=14.0,
     batch_per_s=3.0,
     batch_cpu_millis=7_000,
@@ -30,10 +30,10 @@
     serving_worth=0.3,
 )
 
-# The same, with most pairs of images disturbing one another.
-HOSTILE = replace(CROWDED, pressing_ratio=1.0, both_ratio=1.0)
-# More for fillers than fits, on workers that serve.
-OVERFULL = DemandSettings(pressing_ratio=1.0, batch_per_s=4.0, serving_jobs=22)
+# The same with strong interference between most pairs of images.
+HOSTILE = replace(CROWDED, disturbing_ratio=1.0, two_resource_ratio=1.0)
+# More filler work than fits on the workers beside the serving tasks.
+FILLER_OVERLOAD = DemandSettings(disturbing_ratio=1.0, batch_per_s=4.0, serving_jobs=22)
 LARGE = DemandSettings(
     workers=246,
     worker_cpu_millis=64_000,
@@ -49,8 +49,8 @@
     urgent_cpu_millis=11_000,
 )
 
-# Many kinds of images on many workers: 180 pairs to learn, most of them disturbing, and
-# wide batch jobs that are worth most.
+# Many images on many workers: 180 pairs to learn, most of which interfere, and wide
+# batch jobs that have the highest worth.
 MIXED = DemandSettings(
     workers=246,
     worker_cpu_millis=64_000,
@@ -61,10 +61,10 @@
     serving_images=10,
     filling_images=18,
     resources=3,
-    pressing_ratio=0.9,
-    both_ratio=0.6,
+    disturbing_ratio=0.9,
+    two_resource_ratio=0.6,
     slope=4.5,
-    light_slope=0.5,
+    background_slope=0.5,
     swing=0.6,
     swing_s=14.0,
     batch_per_s=13.7,
@@ -80,17 +80,17 @@
     serving_worth=0.234,
 )
 
-# One job in fifty has a task that crashes its workers, and a third of the workers hold
-# half for a part of the time.
+# One job in fifty has a task that crashes its workers, and a third of the workers have
+# half their CPU for a part of the time.
 BREAKING = DemandSettings(crash_ratio=0.02, shrink_ratio=0.33)
 
-# One of three data centres is evacuated for half of the time.
+# One of the three data centres is under evacuation for half of the time.
 EVACUATED = DemandSettings(evacuated_part=0.5, batch_per_s=2.5)
 
 LOADS = {
     "usual": DemandSettings(),
-    "tight": DemandSettings(pressing_ratio=0.8, batch_per_s=4.0, load=0.5),
-    "pressing": OVERFULL,
+    "tight": DemandSettings(disturbing_ratio=0.8, batch_per_s=4.0, load=0.5),
+    "pressing": FILLER_OVERLOAD,
     "crowded": CROWDED,
     "hostile": HOSTILE,
     "large": LARGE,
--- a/packages/hornbeampaddle-standins/hornbeampaddle_standins/cell/store.py
+++ b/packages/hornbeampaddle-standins/hornbeampaddle_standins/cell/store.py
@@ -1,4 +1,4 @@
-"""Stand in for the log service: conditional appends, epochs, compacted logs."""
+"""Simulated log service: conditional appends, producer epochs, compacted logs."""
 
 import asyncio
 import math
@@ -25,19 +25,19 @@
     Unavailable,
 )
 
-# One answer takes about as long as the users' store takes.
-ANSWER_S = 0.006
-# A caller gives up a call that gets no answer after so long, not counting the time for
-# which it asked the store to wait for a record.
-CALLER_PATIENCE_S = 1.0
-# A store remembers the outcome of this many appends of each producer.
-REMEMBERED = 5
-# The records of a read of newest records travel as text.
-NEWEST_SIZE_RATIO = 4 / 3
+# Response time of a call, about that of the users' store.
+ROUND_TRIP_S = 0.006
+# Time after which a call without an answer fails, in addition to the time for which
+# the caller asked the store to wait for a record.
+CALL_TIMEOUT_S = 1.0
+# Number of append outcomes that the store remembers for each producer.
+REMEMBERED_APPENDS_MAX = 5
+# Reads of the newest records return them as base64 text.
+BASE64_SIZE_RATIO = 4 / 3
 
 
 class StoreFault(Enum):
-    """How the store treats one instance, or all."""
+    """The fault that the store shows to one instance, or to all."""
 
     NONE = "none"
     REFUSES = "refuses"
@@ -48,7 +48,7 @@
 
 @dataclass(slots=True)
 class _Writer:
-    """What the log remembers of one producer's appends."""
+    """The state that a log keeps of one producer, for idempotent appends."""
 
     epoch: int = -1
     next_sequence: int = 0
@@ -57,7 +57,7 @@
 
 @dataclass(slots=True)
 class KeyedLog:
-    """One compacted log; ``first`` is the oldest offset that can be read."""
+    """One compacted log; ``first`` is the oldest readable offset."""
 
     records: list[Keyed] = field(default_factory=list)
     newest: dict[str, bytes] = field(default_factory=dict)
@@ -72,7 +72,7 @@
     def append(
         self, records: Sequence[Keyed], producer: Producer | None, at: int | None
     ) -> AppendOutcome:
-        """Append all or none."""
+        """Append all records or none; return the outcome."""
         if producer is not None:
             outcome = self._admit(producer)
             if outcome is not None:
@@ -81,7 +81,7 @@
             return Conflict()
         self.records += records
         for record in records:
-            # The newest records are read in the order in which they were written.
+            # Reads of the newest records return them in the order of writing.
             self.newest.pop(record.key, None)
             if record.value is not None:
                 self.newest[record.key] = record.value
@@ -89,7 +89,7 @@
         if producer is not None and records:
             writer = self.writers[producer.name]
             writer.outcomes[producer.sequence] = done
-            writer.outcomes.pop(producer.sequence - REMEMBERED, None)
+            writer.outcomes.pop(producer.sequence - REMEMBERED_APPENDS_MAX, None)
             writer.next_sequence = producer.sequence + 1
         return done
 
@@ -110,16 +110,16 @@
 @dataclass(slots=True)
 class Link:
     """
-    The narrow link of one instance: answers pass it one after the other.
+    The low-bandwidth link of one instance, which transfers answers one by one.
 
-    An answer that its caller no longer waits for takes its time all the same.
+    An answer uses the link even if its caller has timed out.
     """
 
     bytes_per_s: float
     free_at_s: float = 0.0
 
-    async def carry(self, size_bytes: float) -> None:
-        """Return when an answer of this size has passed."""
+    async def transfer(self, size_bytes: float) -> None:
+        """Wait until an answer of this size is transferred."""
         now_s = asyncio.get_running_loop().time()
         self.free_at_s = max(self.free_at_s, now_s) + size_bytes / self.bytes_per_s
         await asyncio.sleep(self.free_at_s - now_s)
@@ -127,19 +127,19 @@
 
 @dataclass(slots=True)
 class CellStore:
-    """All logs, and how each instance is treated at present."""
+    """All logs, and the current faults by instance."""
 
     logs: dict[Topic, KeyedLog] = field(
         default_factory=lambda: {topic: KeyedLog() for topic in Topic}
     )
     faults: dict[str, StoreFault] = field(default_factory=dict)
-    # Reads of a log that one instance gets no answer to.
-    unread: set[tuple[str, Topic]] = field(default_factory=set)
-    # Instances whose link is narrow; what others read takes no time to travel.
+    # Pairs of instance and log whose reads get no answer.
+    unanswered_reads: set[tuple[str, Topic]] = field(default_factory=set)
+    # Instances with a low-bandwidth link; for others the transfer takes no time.
     links: dict[str, Link] = field(default_factory=dict)
     # Logs that refuse every append.
-    unwritten: set[Topic] = field(default_factory=set)
-    answer_s: float = ANSWER_S
+    read_only: set[Topic] = field(default_factory=set)
+    round_trip_s: float = ROUND_TRIP_S
     late_s: float = 3.0
     # Read rate limit shared by all instances; reads above it are refused.
     reads_per_s: float = math.inf
@@ -151,7 +151,7 @@
     _reads_in_second: int = 0
 
     def fault(self, name: str) -> StoreFault:
-        """Return the fault that one instance meets."""
+        """Return the fault shown to one instance."""
         return self.faults.get(name) or self.faults.get("", StoreFault.NONE)
 
     def admit_read(self) -> bool:
@@ -168,11 +168,11 @@
         return False
 
     def port(self, name: str) -> "StoreAccess":
-        """Return the store as one instance reaches it."""
+        """Return the store port of one instance."""
         return StoreAccess(self, name)
 
     def write(self, topic: Topic, record: Keyed) -> None:
-        """Write as an operator or a worker does: past all faults."""
+        """Append as an operator or a worker, unaffected by faults."""
         self.logs[topic].append([record], None, None)
         self.wake()
 
@@ -182,7 +182,7 @@
             log.first = log.end
 
     def wake(self) -> None:
-        """Let the reads that wait look again."""
+        """Wake the reads that wait for a record."""
         self.changed.set()
         self.changed = asyncio.Event()
 
@@ -191,7 +191,7 @@
     """The store port of one instance."""
 
     def __init__(self, store: CellStore, name: str) -> None:
-        """Reach ``store`` under the faults set for ``name``."""
+        """Access ``store`` under the faults set for ``name``."""
         self.store = store
         self.name = name
 
@@ -204,24 +204,24 @@
     ) -> AppendOutcome:
         """Append all records or none."""
         self.store.appends += 1
-        await asyncio.sleep(self.store.answer_s / 2)
-        if topic in self.store.unwritten:
+        await asyncio.sleep(self.store.round_trip_s / 2)
+        if topic in self.store.read_only:
             return Unavailable("refused")
         match self.store.fault(self.name):
             case StoreFault.REFUSES:
                 return Unavailable("refused")
             case StoreFault.SILENT:
-                return await self._silence()
+                return await self._time_out()
             case StoreFault.LATE:
                 asyncio.get_running_loop().call_later(
                     self.store.late_s, self._append, topic, records, producer, at_offset
                 )
-                return await self._silence()
+                return await self._time_out()
             case StoreFault.LOSES_ANSWERS:
                 self._append(topic, records, producer, at_offset)
-                return await self._silence()
+                return await self._time_out()
         outcome = self._append(topic, records, producer, at_offset)
-        await asyncio.sleep(self.store.answer_s / 2)
+        await asyncio.sleep(self.store.round_trip_s / 2)
         return outcome
 
     def _append(
@@ -235,34 +235,34 @@
         self.store.wake()
         return outcome
 
-    async def _silence(self, patience_s: float = CALLER_PATIENCE_S) -> NoAnswer:
-        await asyncio.sleep(patience_s)
+    async def _time_out(self, timeout_s: float = CALL_TIMEOUT_S) -> NoAnswer:
+        await asyncio.sleep(timeout_s)
         return NoAnswer("timed out")
 
     async def _refused(
-        self, patience_s: float = CALLER_PATIENCE_S
+        self, timeout_s: float = CALL_TIMEOUT_S
     ) -> Unavailable | NoAnswer | None:
         match self.store.fault(self.name):
             case StoreFault.REFUSES:
                 return Unavailable("refused")
             case StoreFault.SILENT:
-                return await self._silence(patience_s)
+                return await self._time_out(timeout_s)
         return None
 
     async def read(self, topic: Topic, span: Span) -> ReadOutcome:
-        """Read from an offset; wait for a record if there is none."""
+        """Read from an offset, and wait up to ``span.wait_s`` for a record."""
         offset, wait_s = span.offset, span.wait_s
-        await asyncio.sleep(self.store.answer_s / 2)
+        await asyncio.sleep(self.store.round_trip_s / 2)
         if not self.store.admit_read():
             return Unavailable("too many reads")
         log = self.store.logs[topic]
         deadline_s = asyncio.get_running_loop().time() + wait_s
         while True:
             left_s = deadline_s - asyncio.get_running_loop().time()
-            patience_s = left_s + CALLER_PATIENCE_S
-            if (self.name, topic) in self.store.unread:
-                return await self._silence(patience_s)
-            refused = await self._refused(patience_s)
+            timeout_s = left_s + CALL_TIMEOUT_S
+            if (self.name, topic) in self.store.unanswered_reads:
+                return await self._time_out(timeout_s)
+            refused = await self._refused(timeout_s)
             if refused is not None:
                 return refused
             if log.end > offset or left_s <= 0:
@@ -272,41 +272,41 @@
                     await self.store.changed.wait()
             except TimeoutError:
                 pass
-        await asyncio.sleep(self.store.answer_s / 2)
+        await asyncio.sleep(self.store.round_trip_s / 2)
         if offset < log.first:
             return Expired()
         records = _page(log.records[offset:], span.size_max_bytes)
         waited_s = 0.0 if records else wait_s
         batch = Batch(records, offset + len(records), log.end, waited_s)
-        if not await self._carried(_size_bytes(records)):
+        if not await self._delivered(_size_bytes(records)):
             return NoAnswer("timed out")
         return batch
 
     async def newest(self, topic: Topic) -> NewestOutcome:
         """Read the newest record of each key."""
-        await asyncio.sleep(self.store.answer_s)
+        await asyncio.sleep(self.store.round_trip_s)
         if not self.store.admit_read():
             return Unavailable("too many reads")
-        if (self.name, topic) in self.store.unread:
-            return await self._silence()
+        if (self.name, topic) in self.store.unanswered_reads:
+            return await self._time_out()
         refused = await self._refused()
         if refused is not None:
             return refused
         log = self.store.logs[topic]
         records = [Keyed(key, value) for key, value in log.newest.items()]
         newest = Newest(records, log.end)
-        if not await self._carried(NEWEST_SIZE_RATIO * _size_bytes(records)):
+        if not await self._delivered(BASE64_SIZE_RATIO * _size_bytes(records)):
             return NoAnswer("timed out")
         return newest
 
-    async def _carried(self, size_bytes: float) -> bool:
-        """Tell whether an answer reached the instance while it was waited for."""
+    async def _delivered(self, size_bytes: float) -> bool:
+        """Return whether an answer is transferred before the call times out."""
         link = self.store.links.get(self.name)
         if link is None:
             return True
         try:
-            async with asyncio.timeout(CALLER_PATIENCE_S):
-                await link.carry(size_bytes)
+            async with asyncio.timeout(CALL_TIMEOUT_S):
+                await link.transfer(size_bytes)
         except TimeoutError:
             return False
         return True
@@ -317,7 +317,7 @@
 
 
 def _page(records: Sequence[Keyed], size_max_bytes: int) -> list[Keyed]:
-    """Return the records that one read carries: one at least."""
+    """Return the records that fit in one read, at least one."""
     page: list[Keyed] = []
     left_bytes = size_max_bytes
     for record in records:
--- a/packages/hornbeampaddle-standins/hornbeampaddle_standins/cell/workers.py
+++ b/packages/hornbeampaddle-standins/hornbeampaddle_standins/cell/workers.py
@@ -1,9 +1,10 @@
 """
-Stand in for workers: leases, tokens, runs, ends, checkpoints, pace.
+Simulated workers: leases, fencing tokens, runs, ends, checkpoints and pace.
 
-A worker judges what it is told: two runs of a task, a start after its end or
-its cancellation, in an evacuated data centre, ever more starts of a task that crashes
-its workers, and more than it holds are promises broken.
+The workers check the orders that they carry out. These are violations: two
+concurrent runs of a task, a start after the task's end or cancellation, a start in an
+evacuated data centre, repeated starts of a task that crashes its workers, and starts
+beyond a worker's capacity.
 """
 
 import asyncio
@@ -32,36 +33,37 @@
 from hornbeampaddle.cell.workers import WorkerListing
 from hornbeampaddle.resources import NOTHING, Resources
 
-ANSWER_S = 0.002
-CALLER_PATIENCE_S = 0.6
-STOP_S = 0.3
-# The users' bounds: a cancelled job's task starts no later than this after the
-# answer, is heard of so long after its start, and ends within the last.
-CANCEL_S = 3.0
-CONTACT_S = 3.0
+ROUND_TRIP_S = 0.002
+CALL_TIMEOUT_S = 0.6
+STOP_DURATION_S = 0.3
+# The users' bounds on a cancelled job: after the answer its tasks may still start
+# within START_AFTER_CANCEL_MAX_S; the cell learns of a start within
+# REPORT_DELAY_MAX_S; a run that the cell knows of ends within STOP_MAX_S.
+START_AFTER_CANCEL_MAX_S = 3.0
+REPORT_DELAY_MAX_S = 3.0
 STOP_MAX_S = 0.4
-# Nothing starts in a data centre later than this after its evacuation was stored.
-EVACUATE_S = 5.0
+# No task starts in a data centre later than this after its evacuation is stored.
+START_AFTER_EVACUATION_MAX_S = 5.0
 LEASE_MAX_S = 10.0
-# A worker that says of itself each second what it holds has shrunk for the cell so long
-# after it did: the time of contact and one sign of life.
-SHRUNK_AFTER_S = CONTACT_S + 1.1
-# A worker that crashed is back at its address after so long, under another id.
-RESTART_S = 2.0
-# A task under which so many workers have crashed may be started less than three times
-# more.
+# The cell applies a reduced capacity within this time: the report delay plus one
+# heartbeat, which a worker sends each second with its capacity.
+SHRINK_DELAY_MAX_S = REPORT_DELAY_MAX_S + 1.1
+# A crashed worker restarts at the same address under a new id after this delay.
+RESTART_DELAY_S = 2.0
+# After a task has crashed CRASHES_MAX workers, it may be started fewer than three more
+# times.
 CRASHES_MAX = 3
 STARTS_AFTER_CRASHES_MAX = 2
 TICK_S = 0.05
-# The slack of a serving task alone: its target over its tail.
-ALONE_SLACK = 2.8
-# Tails beyond this many times their target are reported as such.
+# Slack (target latency / tail latency) of a serving task without fillers beside it.
+UNDISTURBED_SLACK = 2.8
+# Reported tail latencies are capped at this multiple of the target.
 TAIL_RATIO_MAX = 20.0
 
 
 @dataclass(slots=True)
-class Span:
-    """One run's time on a worker."""
+class RunSpan:
+    """The time interval of one run on a worker; infinite end while it runs."""
 
     key: TaskKey
     begun_at_s: float
@@ -69,28 +71,28 @@
 
 
 @dataclass(slots=True)
-class Judge:
-    """What all workers saw together."""
+class InvariantChecker:
+    """Record the runs of all workers; ``broken`` lists the violations found."""
 
     running: dict[TaskKey, int] = field(default_factory=dict)
     begun_at_s: dict[TaskKey, float] = field(default_factory=dict)
     done: set[TaskKey] = field(default_factory=set)
     cancelled_at_s: dict[str, float] = field(default_factory=dict)
-    # Since when nothing more may start in a data centre.
+    # By data centre: since when no task may start there.
     evacuated_at_s: dict[str, float] = field(default_factory=dict)
     broken: list[str] = field(default_factory=list)
     starts: int = 0
     started_at_s: list[float] = field(default_factory=list)
     over_target_s: float = 0.0
-    spans: list[Span] = field(default_factory=list)
-    # By task that crashes its workers: how many crashed, and starts after the third.
+    spans: list[RunSpan] = field(default_factory=list)
+    # By task: the workers that it crashed, and its starts after CRASHES_MAX crashes.
     crashes: Counter[TaskKey] = field(default_factory=Counter)
     starts_after_crashes: Counter[TaskKey] = field(default_factory=Counter)
 
     def began(
         self, key: TaskKey, data_centre: str, now_s: float, late: bool = False
-    ) -> Span:
-        """Note that a run began, perhaps on an order that was carried out late."""
+    ) -> RunSpan:
+        """Record a start; ``late`` if its order was delivered with a delay."""
         self.starts += 1
         self.started_at_s.append(now_s)
         if self.running.get(key, 0):
@@ -98,10 +100,10 @@
         if key in self.done:
             self.broken.append(f"{now_s:.3f}: {key} runs after its end")
         cancelled_at_s = self.cancelled_at_s.get(key.job_id, math.inf)
-        if now_s > cancelled_at_s + CANCEL_S and not late:
+        if now_s > cancelled_at_s + START_AFTER_CANCEL_MAX_S and not late:
             self.broken.append(f"{now_s:.3f}: {key} starts after its cancellation")
         evacuated_at_s = self.evacuated_at_s.get(data_centre, math.inf)
-        if now_s > evacuated_at_s + EVACUATE_S and not late:
+        if now_s > evacuated_at_s + START_AFTER_EVACUATION_MAX_S and not late:
             self.broken.append(f"{now_s:.3f}: {key} starts in evacuated {data_centre}")
         if self.crashes[key] >= CRASHES_MAX:
             self.starts_after_crashes[key] += 1
@@ -109,37 +111,40 @@
                 self.broken.append(f"{now_s:.3f}: {key} keeps crashing workers")
         self.running[key] = self.running.get(key, 0) + 1
         self.begun_at_s[key] = now_s
-        span = Span(key, now_s)
+        span = RunSpan(key, now_s)
         self.spans.append(span)
         return span
 
     def acknowledged(self, key: TaskKey, ended_at_s: float) -> None:
         """
-        Note that the end of a run that was done has been taken note of.
+        Record that the scheduler acknowledged a completed run.
 
-        An end that dies with its worker before that does not count: the task
-        has to run again.
+        A completion that is lost with its worker before the acknowledgement does
+        not count: the task has to run again.
         """
         self.done.add(key)
         if self.begun_at_s[key] > ended_at_s:
             self.broken.append(f"{ended_at_s:.3f}: {key} began after its end")
 
-    def ended(self, key: TaskKey, span: Span, now_s: float) -> None:
-        """Note that a run is over."""
+    def ended(self, key: TaskKey, span: RunSpan, now_s: float) -> None:
+        """Record the end of a run."""
         self.running[key] -= 1
         span.ended_at_s = now_s
 
-    def ran_on(self, now_s: float) -> list[Span]:
+    def runs_past_cancellation(self, now_s: float) -> list[RunSpan]:
         """
-        Return the runs of cancelled jobs that went on too long, until now.
+        Return the runs of cancelled jobs that exceeded the allowed time by now.
 
-        The time is counted from the cancellation, and for a run that began late
-        from when the cell must have heard of it.
+        The time counts from the cancellation or, for a run that began late, from
+        when the cell must have learned of it.
         """
         late = []
         for span in self.spans:
             cancelled_at_s = self.cancelled_at_s.get(span.key.job_id, math.inf)
-            known_at_s = max(cancelled_at_s + CANCEL_S, span.begun_at_s + CONTACT_S)
+            known_at_s = max(
+                cancelled_at_s + START_AFTER_CANCEL_MAX_S,
+                span.begun_at_s + REPORT_DELAY_MAX_S,
+            )
             if min(now_s, span.ended_at_s) > known_at_s + STOP_MAX_S:
                 late.append(span)
         return late
@@ -147,11 +152,11 @@
 
 @dataclass(slots=True)
 class LiveRun:
-    """A run on a worker."""
+    """The state of a run on a worker."""
 
     run: Run
     work_s: float
-    span: Span
+    span: RunSpan
     done_s: float = 0.0
     pace: float = 1.0
     saved_s: float = 0.0
@@ -160,12 +165,18 @@
 
 @dataclass
 class CellWorker:
-    """One incarnation of a worker in simulated time."""
+    """
+    One incarnation of a worker in simulated time.
+
+    ``work_of`` returns the seconds of work of a run and whether it fails;
+    ``slope_of`` returns the slack that a serving image loses per worker filled by
+    a filling image; ``skew_s`` is the offset of the worker's clock.
+    """
 
     listing: WorkerListing
-    judge: Judge
+    checker: InvariantChecker
     work_of: Callable[[Run], tuple[float, bool]]
-    slopes: Callable[[str, str], float]
+    slope_of: Callable[[str, str], float]
     skew_s: float = 0.0
     token: int = 0
     lease_until_s: float = 0.0
@@ -173,26 +184,26 @@
     ends: list[EndedRow] = field(default_factory=list)
     done_at_s: dict[int, float] = field(default_factory=dict)
     position: int = 0
-    highest: dict[TaskKey, int] = field(default_factory=dict)
+    highest_number: dict[TaskKey, int] = field(default_factory=dict)
     alive: bool = True
     fails_all: bool = False
     stalled: bool = False
-    # Refuses every order and has then done nothing; it still reports.
+    # Refuses every order without any effect, but still reports.
     unwell: bool = False
-    # Refuses starts without a ticket.
+    # Refuses starts that carry no ticket.
     needs_ticket: bool = False
-    # What it held before it shrank, and until when a start may count on that.
-    held_before: Resources = NOTHING
-    held_until_s: float = 0.0
-    # The run that crashes the worker so many seconds after its start, if any does.
+    # The capacity before the last resize, and until when starts may rely on it.
+    capacity_before: Resources = NOTHING
+    shrink_pending_until_s: float = 0.0
+    # Returns the seconds from a run's start until it crashes the worker, or None.
     crash_after_s: Callable[[Run], float | None] = lambda run: None
-    # What happens around a crash: who restarts the worker, and where.
+    # Called after a crash, to restart the worker.
     on_crash: Callable[["CellWorker"], None] = lambda worker: None
-    # Crashed, so that connections are refused; and replaced at its address.
+    # After a crash: connections are refused; another incarnation has the address.
     refuses: bool = False
     replaced: bool = False
-    # An order is being carried out long after it was sent.
-    acting_late: bool = False
+    # Set while an order that was delayed on its way is carried out.
+    delivering_late: bool = False
     changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def now_s(self) -> float:
@@ -200,29 +211,29 @@
         return asyncio.get_running_loop().time()
 
     def clock_s(self) -> float:
-        """Return this worker's own clock."""
+        """Return the time of this worker's own clock."""
         return self.now_s() + self.skew_s
 
     def die(self) -> None:
-        """End with everything that runs."""
+        """Terminate the worker and all its runs."""
         self.alive = False
         for key, live in self.runs.items():
-            self.judge.ended(key, live.span, self.now_s())
+            self.checker.ended(key, live.span, self.now_s())
         self.runs.clear()
 
     def resize(self, capacity: Resources) -> None:
-        """Hold more or less from now on, while running."""
-        self.held_before = self.listing.capacity
-        self.held_until_s = self.now_s() + SHRUNK_AFTER_S
+        """Change the capacity while the worker runs."""
+        self.capacity_before = self.listing.capacity
+        self.shrink_pending_until_s = self.now_s() + SHRINK_DELAY_MAX_S
         self.listing = replace(self.listing, capacity=capacity)
 
-    def _room(self) -> Resources:
-        if self.now_s() < self.held_until_s:
-            return self.listing.capacity.largest(self.held_before)
+    def _capacity_limit(self) -> Resources:
+        if self.now_s() < self.shrink_pending_until_s:
+            return self.listing.capacity.largest(self.capacity_before)
         return self.listing.capacity
 
     def crash(self) -> None:
-        """End with everything that runs; connections are closed at once."""
+        """Terminate the worker and all its runs; then refuse connections."""
         if not self.alive:
             return
         self.die()
@@ -230,24 +241,25 @@
         self.changed.set()
         self.on_crash(self)
 
-    def _crash_under(self, run: Run) -> None:
+    def _crash_during(self, run: Run) -> None:
         live = self.runs.get(run.key)
         if live is not None and live.run.number == run.number:
-            self.judge.crashes[run.key] += 1
+            self.checker.crashes[run.key] += 1
             self.crash()
 
     async def live(self) -> None:
-        """Let time pass for what runs."""
+        """Advance the runs tick by tick for as long as the worker is alive."""
         while self.alive:
             await asyncio.sleep(TICK_S)
             self.advance(TICK_S)
 
     def advance(self, passed_s: float) -> None:
-        """Work for a while; end what is done or whose lease is over."""
+        """Advance all runs; end those that are finished or whose lease expired."""
         if self.clock_s() >= self.lease_until_s:
             for key in list(self.runs):
                 self._end(key, EndKind.LEASE_EXPIRED)
-            # What ended before a lapse may rightly run again elsewhere.
+            # A task whose completion is not acknowledged when the lease expires may
+            # rightly run again on another worker.
             self.done_at_s.clear()
             return
         speed = self._filler_speed()
@@ -261,8 +273,8 @@
             if live.done_s >= live.work_s and not live.run.step.lasting:
                 self._end(key, EndKind.FAILED if live.fails else EndKind.DONE)
         for live in self.runs.values():
-            if live.run.step.tail_target_s and self._ratio(live) > 1:
-                self.judge.over_target_s += passed_s
+            if live.run.step.tail_target_s and self._tail_ratio(live) > 1:
+                self.checker.over_target_s += passed_s
 
     def _filler_speed(self) -> float:
         fillers = [r.run for r in self.runs.values() if r.run.step.filler]
@@ -275,20 +287,22 @@
         left = max(0.0, self.listing.capacity.cpu_millis - others)
         return min(1.0, left / wanted) if wanted else 1.0
 
-    def _ratio(self, live: LiveRun) -> float:
-        """Return a tail over its target; slack falls with what disturbs."""
-        slack = ALONE_SLACK
+    def _tail_ratio(self, live: LiveRun) -> float:
+        """Return tail latency / target; fillers beside the task reduce its slack."""
+        slack = UNDISTURBED_SLACK
         speed = self._filler_speed()
         for other in self.runs.values():
             if other.run.step.filler:
                 use = other.run.step.need.cpu_millis * other.pace * speed
                 share = use / self.listing.capacity.cpu_millis
-                slack -= share * self.slopes(live.run.step.image, other.run.step.image)
+                slack -= share * self.slope_of(
+                    live.run.step.image, other.run.step.image
+                )
         return 1 / max(1 / TAIL_RATIO_MAX, slack)
 
     def _end(self, key: TaskKey, how: EndKind) -> None:
         live = self.runs.pop(key)
-        self.judge.ended(key, live.span, self.now_s())
+        self.checker.ended(key, live.span, self.now_s())
         self.position += 1
         if how is EndKind.DONE:
             self.done_at_s[self.position] = self.now_s()
@@ -300,17 +314,17 @@
     # Orders
 
     def start(self, run: Run, token: int, deadline_s: float) -> OrderOutcome:
-        """Begin a run, or say why not."""
+        """Start a run, or return the reason for the refusal."""
         if token < self.token:
             return Refused(Reason.FENCED, self.clock_s())
         self.token = token
-        self._extend(deadline_s)
+        self._extend_lease(deadline_s)
         if deadline_s < self.clock_s():
             return Refused(Reason.EXPIRED, self.clock_s())
         live = self.runs.get(run.key)
         if live is not None and live.run.number == run.number:
             return Done(self.clock_s())
-        if run.number <= self.highest.get(run.key, 0):
+        if run.number <= self.highest_number.get(run.key, 0):
             return Refused(Reason.OUTDATED, self.clock_s())
         if live is not None:
             return Refused(Reason.OUTDATED, self.clock_s())
@@ -321,36 +335,40 @@
 
     def _begin(self, run: Run) -> None:
         data_centre = self.listing.data_centre
-        span = self.judge.began(run.key, data_centre, self.now_s(), self.acting_late)
+        span = self.checker.began(
+            run.key, data_centre, self.now_s(), self.delivering_late
+        )
         work_s, fails = self.work_of(run)
         live = LiveRun(run, work_s, span, fails=fails or self.fails_all)
         live.done_s = live.saved_s = float(run.checkpoint or 0)
         self.runs[run.key] = live
-        self.highest[run.key] = run.number
+        self.highest_number[run.key] = run.number
         after_s = self.crash_after_s(run)
         if after_s is not None:
             loop = asyncio.get_running_loop()
-            loop.call_later(after_s, self._crash_under, run)
+            loop.call_later(after_s, self._crash_during, run)
         taken = NOTHING
         for other in self.runs.values():
             taken = taken + other.run.charge
-        if not taken.fits_in(self._room()):
-            self.judge.broken.append(f"{self.now_s():.3f}: {run.worker_id} is over")
+        if not taken.fits_in(self._capacity_limit()):
+            self.checker.broken.append(f"{self.now_s():.3f}: {run.worker_id} is over")
 
-    def _extend(self, deadline_s: float) -> None:
+    def _extend_lease(self, deadline_s: float) -> None:
         bounded_s = min(deadline_s, self.clock_s() + LEASE_MAX_S)
         self.lease_until_s = max(self.lease_until_s, bounded_s)
 
     def stop(self, run: Run, token: int) -> OrderOutcome:
-        """End a run soon; a later start of it is refused."""
+        """End a run after ``STOP_DURATION_S``; later starts of it are refused."""
         if token < self.token:
             return Refused(Reason.FENCED, self.clock_s())
         self.token = token
-        self.highest[run.key] = max(self.highest.get(run.key, 0), run.number)
+        self.highest_number[run.key] = max(
+            self.highest_number.get(run.key, 0), run.number
+        )
         live = self.runs.get(run.key)
         if live is not None and live.run.number == run.number:
             loop = asyncio.get_running_loop()
-            loop.call_later(STOP_S, self._stopped, run.key, live)
+            loop.call_later(STOP_DURATION_S, self._stopped, run.key, live)
         return Done(self.clock_s())
 
     def _stopped(self, key: TaskKey, live: LiveRun) -> None:
@@ -359,7 +377,7 @@
             self._end(key, EndKind.STOPPED)
 
     def pace(self, run: Run, token: int, percent: int) -> OrderOutcome:
-        """Let a run work at a share of its speed."""
+        """Limit a run to a percentage of its speed."""
         if token < self.token:
             return Refused(Reason.FENCED, self.clock_s())
         live = self.runs.get(run.key)
@@ -370,23 +388,23 @@
     def renew(
         self, token: int, last_seen: int, deadline_s: float | None
     ) -> Refused | None:
-        """Extend the lease and forget acknowledged ends."""
+        """Extend the lease and drop acknowledged ends."""
         if token < self.token:
             return Refused(Reason.FENCED, self.clock_s())
         self.token = token
         if deadline_s is not None:
-            self._extend(deadline_s)
+            self._extend_lease(deadline_s)
         for end in self.ends:
             done_at_s = self.done_at_s.pop(end.position, None)
             if end.position <= last_seen and done_at_s is not None:
-                self.judge.acknowledged(end.key, done_at_s)
+                self.checker.acknowledged(end.key, done_at_s)
             elif done_at_s is not None:
                 self.done_at_s[end.position] = done_at_s
         self.ends = [end for end in self.ends if end.position > last_seen]
         return None
 
     async def wait_for_end(self, wait_s: float) -> None:
-        """Wait until an end is listed, or for as long as asked."""
+        """Wait for an unacknowledged end, for at most ``wait_s``."""
         if self.ends or not wait_s:
             return
         try:
@@ -396,7 +414,7 @@
             pass
 
     def rows(self) -> tuple[RunningRow, ...]:
-        """Return what runs, as a report lists it."""
+        """Return the runs in progress as the rows of a report."""
         rows = []
         for live in self.runs.values():
             step = live.run.step
@@ -404,7 +422,7 @@
             if step.filler:
                 measure *= self._filler_speed()
             if step.tail_target_s:
-                measure = self._ratio(live) * step.tail_target_s * 1000
+                measure = self._tail_ratio(live) * step.tail_target_s * 1000
             percent = 100.0 if step.lasting else 100 * live.done_s / live.work_s
             saved = str(live.saved_s) if live.saved_s else ""
             number = live.run.number
@@ -413,7 +431,7 @@
 
 
 class OrderFate(Enum):
-    """What becomes of every order of one kind."""
+    """The fault that affects every order of one kind."""
 
     LATE = "are carried out late"
     LOST = "are lost"
@@ -423,14 +441,20 @@
 
 @dataclass(slots=True)
 class OrderFaults:
-    """What happens to orders between an instance and the workers."""
+    """
+    The faults that orders meet between instances and workers.
+
+    ``lost_ratio`` is the share of orders whose answer is lost, ``late_ratio`` the
+    share that takes effect ``late_s`` later, and ``partitioned`` the pairs of
+    instance and worker that cannot reach each other.
+    """
 
     random: Random
     lost_ratio: float = 0.0
     late_ratio: float = 0.0
     late_s: float = 4.0
-    cut: set[tuple[str, str]] = field(default_factory=set)
-    # By the kind of order: start, stop, pace.
+    partitioned: set[tuple[str, str]] = field(default_factory=set)
+    # By the kind of order: start, stop, pace, report.
     fates: dict[str, OrderFate] = field(default_factory=dict)
     # Called for each report that an instance reads.
     on_report_read: Callable[[], None] = lambda: None
@@ -449,67 +473,71 @@
         self.faults = faults
 
     def close(self) -> None:
-        """Nothing is open."""
+        """Do nothing: there is no connection to close."""
 
     async def _order(self, kind: str, act: Callable[[], OrderOutcome]) -> OrderOutcome:
-        await asyncio.sleep(ANSWER_S / 2)
-        if (self.caller, self.worker.listing.worker_id) in self.faults.cut:
-            return await self._silence()
+        await asyncio.sleep(ROUND_TRIP_S / 2)
+        if (self.caller, self.worker.listing.worker_id) in self.faults.partitioned:
+            return await self._time_out()
         if not self.worker.alive:
-            return await self._dead()
+            return await self._answer_when_dead()
         fate = self.faults.fates.get(kind)
         if fate is OrderFate.UNWELL:
             return Refused(Reason.UNWELL)
         if fate is OrderFate.LOST:
-            return await self._silence()
+            return await self._time_out()
         if fate is OrderFate.IGNORED:
             return Done(self.worker.clock_s())
         drawn = self.faults.random.random()
         if fate is OrderFate.LATE or drawn < self.faults.late_ratio:
             loop = asyncio.get_running_loop()
-            loop.call_later(self.faults.late_s, self._act_late, act)
-            return await self._silence()
+            loop.call_later(self.faults.late_s, self._deliver_late, act)
+            return await self._time_out()
         outcome = act()
         if drawn < self.faults.late_ratio + self.faults.lost_ratio:
-            return await self._silence()
-        await asyncio.sleep(ANSWER_S / 2)
+            return await self._time_out()
+        await asyncio.sleep(ROUND_TRIP_S / 2)
         return outcome
 
-    def _if_well(self, act: Callable[[], OrderOutcome]) -> Callable[[], OrderOutcome]:
+    def _refuse_if_unwell(
+        self, act: Callable[[], OrderOutcome]
+    ) -> Callable[[], OrderOutcome]:
         return lambda: Refused(Reason.UNWELL) if self.worker.unwell else act()
 
-    def _act_late(self, act: Callable[[], OrderOutcome]) -> None:
+    def _deliver_late(self, act: Callable[[], OrderOutcome]) -> None:
         if not self.worker.alive:
             return
-        self.worker.acting_late = True
+        self.worker.delivering_late = True
         act()
-        self.worker.acting_late = False
+        self.worker.delivering_late = False
 
-    async def _dead(self) -> NoAnswer | OtherIncarnation:
+    async def _answer_when_dead(self) -> NoAnswer | OtherIncarnation:
         if self.worker.replaced:
             return OtherIncarnation()
         if self.worker.refuses:
             return NoAnswer("connection refused")
-        return await self._silence()
+        return await self._time_out()
 
-    async def _silence(self) -> NoAnswer:
-        await asyncio.sleep(CALLER_PATIENCE_S)
+    async def _time_out(self) -> NoAnswer:
+        await asyncio.sleep(CALL_TIMEOUT_S)
         return NoAnswer("timed out")
 
     async def start(self, run: Run, payload: str, deadline_s: float) -> OrderOutcome:
-        """Start an attempt."""
+        """Start a run, unless the worker is unwell."""
         return await self._order(
             "start",
-            self._if_well(lambda: self.worker.start(run, self.token, deadline_s)),
+            self._refuse_if_unwell(
+                lambda: self.worker.start(run, self.token, deadline_s)
+            ),
         )
 
     async def stop(self, run: Run) -> OrderOutcome:
-        """End an attempt."""
-        act = self._if_well(lambda: self.worker.stop(run, self.token))
+        """Stop a run, unless the worker is unwell."""
+        act = self._refuse_if_unwell(lambda: self.worker.stop(run, self.token))
         return await self._order("stop", act)
 
     async def pace(self, run: Run, percent: int) -> OrderOutcome:
-        """Let an attempt work at a share of its speed."""
+        """Limit a run to a percentage of its speed."""
         return await self._order(
             "pace", lambda: self.worker.pace(run, self.token, percent)
         )
@@ -517,7 +545,7 @@
     async def report(
         self, last_seen: int, deadline_s: float | None, wait_s: float
     ) -> HoldOutcome:
-        """Renew the lease, acknowledge ends, and read what is there."""
+        """Renew the lease, acknowledge ends and read the worker's report."""
         sent_at_s = self.worker.now_s()
         outcome = await self._order(
             "report",
@@ -530,7 +558,7 @@
             return outcome
         await self.worker.wait_for_end(wait_s)
         if not self.worker.alive:
-            return await self._dead()
+            return await self._answer_when_dead()
         self.faults.on_report_read()
         return Report(
             sent_at_s,
--- a/packages/hornbeampaddle-standins/hornbeampaddle_standins/cell/world.py
+++ b/packages/hornbeampaddle-standins/hornbeampaddle_standins/cell/world.py
@@ -1,9 +1,9 @@
 """
-Play whole cells in simulated time: instances, store, workers, callers.
+Simulate whole cells in virtual time: instances, store, workers and callers.
 
-The instances are the real ones; only their ports and their clock are replaced.
-A world is driven from inside its event loop by a script, a coroutine that lets
-time pass and breaks things.
+The instances run the product's code; only their ports and their clock are replaced.
+A world is driven by a script, a coroutine in its event loop that lets time pass and
+injects faults.
 """
 
 import asyncio
@@ -34,28 +34,34 @@
 from hornbeampaddle_cell.settings import InstanceSettings
 
 from .store import CellStore
-from .workers import RESTART_S, CellWorker, Judge, OrderFaults, WorkerAccess
+from .workers import (
+    RESTART_DELAY_S,
+    CellWorker,
+    InvariantChecker,
+    OrderFaults,
+    WorkerAccess,
+)
 
 MIB = 2**20
 ROUTE_HOST = "host"
-# The operator's records that ask for evacuations have the data centre's name behind it.
+# Key prefix of the operator's evacuation records; the data centre's name follows.
 EVACUATE_PREFIX = "evacuate/"
-# A message between two instances takes this long one way.
-PEER_S = 0.002
-# The entry of a worker that crashed goes after three signs of life that did not come.
-UNLIST_S = 3.3
+# One-way latency of a message between two instances.
+PEER_LATENCY_S = 0.002
+# The entry of a crashed worker is removed after three missed heartbeats.
+UNLIST_DELAY_S = 3.3
 LIMITS = CallerLimits(16_384, 262_144, 3.0, 15.0)
 URGENT = Queue("urgent", "compute", 0, 4, 1.5, 0.25)
 BATCH = Queue("batch", "compute", 2, 2, 2.0, 1.0)
 
 
 class WorldCodec:
-    """Records as the stand-ins write them: the product's own types."""
+    """The codec of the simulated records: the product's own types in msgpack."""
 
     def configuration(
         self, record: Keyed
     ) -> Configuration | UnreadableConfiguration | None:
-        """Return the configuration, readable or not; nothing for another record."""
+        """Return the configuration, readable or not; None for other records."""
         if record.key != "config" or record.value is None:
             return None
         try:
@@ -64,51 +70,51 @@
             return UnreadableConfiguration()
 
     def evacuation(self, record: Keyed) -> Evacuation | None:
-        """Return an evacuation that begins or ends, or nothing if it is another."""
+        """Return the start or end of an evacuation; None for other records."""
         if not record.key.startswith(EVACUATE_PREFIX):
             return None
         name = record.key.removeprefix(EVACUATE_PREFIX)
         return Evacuation(name, record.value is not None)
 
     def worker(self, record: Keyed) -> WorkerListing | None:
-        """Return the listing, or nothing if the worker has left."""
+        """Return the listing, or None if the worker's entry was removed."""
         if record.value is None:
             return None
         return msgspec.msgpack.decode(record.value, type=WorkerListing)
 
 
 class WorldPeers:
-    """Requests between the instances of a world; each takes a moment both ways."""
+    """The peer port of one instance; messages take ``PEER_LATENCY_S`` each way."""
 
     def __init__(self, world: "World", name: str) -> None:
-        """Ask for one instance; find others by the host of their peer address."""
+        """Call on behalf of ``name``; a peer is found by its address's host."""
         self.world = world
         self.name = name
 
     async def call(self, address: Address, data: bytes, timeout_s: float) -> bytes:
-        """Return the answer; empty if none came in time."""
+        """Return the answer, or an empty one on a timeout."""
         try:
             async with asyncio.timeout(timeout_s):
-                await asyncio.sleep(PEER_S)
+                await asyncio.sleep(PEER_LATENCY_S)
                 instance = self.world.instances.get(address.host)
                 if instance is None or instance.relay is None:
                     await asyncio.sleep(timeout_s)
                     return b""
                 answer = await instance.relay.serve(data)
-                await asyncio.sleep(PEER_S)
+                await asyncio.sleep(PEER_LATENCY_S)
                 link = self.world.store.links.get(self.name)
                 if link is not None:
-                    await link.carry(len(answer))
+                    await link.transfer(len(answer))
                 return answer
         except TimeoutError:
             return b""
 
 
 class SkewedClock:
-    """The clocks of one instance; a frozen one shows the time when it wakes."""
+    """The clocks of one instance; after a pause they show the current time."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop, skew_s: float) -> None:
-        """Keep the simulated loop and how far the time of day is off."""
+        """Read the simulated ``loop``; ``skew_s`` is the error of the wall clock."""
         self.loop = loop
         self.skew_s = skew_s
 
@@ -123,7 +129,7 @@
 
 @dataclass
 class World:
-    """Everything around the instances, and the instances."""
+    """The instances and their simulated environment."""
 
     seed: int
     work_s: float = 1.0
@@ -132,31 +138,33 @@
     cell_settings: CellSettings = field(default_factory=CellSettings)
     store_reads_per_s: float = 2000.0
     store: CellStore = field(default_factory=CellStore)
-    judge: Judge = field(default_factory=Judge)
+    checker: InvariantChecker = field(default_factory=InvariantChecker)
     workers: dict[str, CellWorker] = field(default_factory=dict)
     instances: dict[str, Instance] = field(default_factory=dict)
     tasks: dict[str, asyncio.Task[None]] = field(default_factory=dict)
-    # Instances reach the store through one another.
+    # Instances may reach the store through one another.
     relays: bool = False
+    # Answers the instances' advice requests; None if there is no advice service.
     advised: Callable[[StepKey, Sequence[str]], Allowance | None] | None = None
     accepted: dict[str, Job] = field(default_factory=dict)
-    # Tasks that crash each worker that starts them, so many seconds after the start.
+    # By task that crashes every worker it runs on: the seconds from start to crash.
     crashing: dict[TaskKey, float] = field(default_factory=dict)
-    # Crashed workers are silent, and do not come back.
-    crashes_dark: bool = False
+    # Crashed workers do not answer, instead of refusing connections, and do not
+    # restart.
+    crashes_silent: bool = False
 
     def __post_init__(self) -> None:
-        """Draw everything from the seed."""
+        """Seed the random sources."""
         self.random = Random(self.seed)
         self.faults = OrderFaults(Random(self.seed + 1))
         self.version = 0
-        self.lives = 0
+        self.instance_starts = 0
         self.restarts = 0
 
-    # Building
+    # Set-up
 
     def configure(self, *queues: Queue) -> None:
-        """Write a configuration, as an operator does."""
+        """Write the operator's configuration, with one route per queue."""
         self.version += 1
         routes = tuple(
             QueueRoute(ROUTE_HOST, f"/{queue.name}/", queue) for queue in queues
@@ -165,17 +173,17 @@
         self.store.write(Topic.OPERATOR, Keyed("config", value))
 
     def evacuate(self, data_centre: str) -> None:
-        """Ask, as an operator, that nothing more starts in a data centre."""
+        """Write the operator's order that no task starts in a data centre."""
         key = f"{EVACUATE_PREFIX}{data_centre}"
         self.store.write(Topic.OPERATOR, Keyed(key, b"{}"))
         now_s = asyncio.get_running_loop().time()
-        self.judge.evacuated_at_s.setdefault(data_centre, now_s)
+        self.checker.evacuated_at_s.setdefault(data_centre, now_s)
 
-    def take_back(self, data_centre: str) -> None:
+    def end_evacuation(self, data_centre: str) -> None:
         """End the evacuation of a data centre."""
         key = f"{EVACUATE_PREFIX}{data_centre}"
         self.store.write(Topic.OPERATOR, Keyed(key, None))
-        self.judge.evacuated_at_s.pop(data_centre, None)
+        self.checker.evacuated_at_s.pop(data_centre, None)
 
     def add_worker(
         self,
@@ -184,7 +192,7 @@
         memory_mib: int = 64_000,
         data_centre: str = "dc-1",
     ) -> CellWorker:
-        """Start a worker and list it."""
+        """Start a worker and write its entry."""
         listing = WorkerListing(
             name,
             "compute",
@@ -194,7 +202,7 @@
             frozenset({"a", "r1-1"}),
         )
         skew_s = self.random.uniform(-50, 50)
-        worker = CellWorker(listing, self.judge, self._work, self.slope_of, skew_s)
+        worker = CellWorker(listing, self.checker, self._work, self.slope_of, skew_s)
         worker.crash_after_s = lambda run: self.crashing.get(run.key)
         worker.on_crash = self._crashed
         self.workers[name] = worker
@@ -203,7 +211,7 @@
         return worker
 
     def resize_worker(self, name: str, cpu_millis: int) -> None:
-        """Let a worker hold more or less while it runs, and say so."""
+        """Change a worker's capacity while it runs, and update its entry."""
         worker = self.workers[name]
         worker.resize(replace(worker.listing.capacity, cpu_millis=cpu_millis))
         self.list_worker(worker)
@@ -214,16 +222,16 @@
         self.store.write(Topic.WORKERS, Keyed(worker.listing.worker_id, value))
 
     def unlist_worker(self, name: str) -> None:
-        """Drop a worker's entry."""
+        """Remove a worker's entry."""
         self.store.write(Topic.WORKERS, Keyed(name, None))
 
     def _crashed(self, worker: CellWorker) -> None:
         loop = asyncio.get_running_loop()
-        loop.call_later(UNLIST_S, self.unlist_worker, worker.listing.worker_id)
-        if self.crashes_dark:
+        loop.call_later(UNLIST_DELAY_S, self.unlist_worker, worker.listing.worker_id)
+        if self.crashes_silent:
             worker.refuses = False
         else:
-            loop.call_later(RESTART_S, self._restart_worker, worker)
+            loop.call_later(RESTART_DELAY_S, self._restart_worker, worker)
 
     def _restart_worker(self, worker: CellWorker) -> None:
         self.restarts += 1
@@ -243,11 +251,11 @@
         return max(0.1, spread * self.work_s), fails
 
     def start_instance(self, name: str, skew_s: float = 0.0) -> Instance:
-        """Start the process of an instance, for the first time or again."""
-        self.lives += 1
+        """Start or restart an instance."""
+        self.instance_starts += 1
         address = Address(name, 1) if self.relays else None
         settings = InstanceSettings(
-            f"{name}-{self.lives}",
+            f"{name}-{self.instance_starts}",
             name,
             "dc-1",
             1.0,
@@ -276,30 +284,30 @@
         return instance
 
     def _seed(self, instance: Instance) -> None:
-        """Draw all that an instance draws from the world's seed."""
-        seed = self.seed + self.lives
+        """Seed all random sources of an instance from the world's seed."""
+        seed = self.seed + self.instance_starts
         instance.leadership.random = Random(seed)
         instance.peer_directory.random = Random(seed)
         for follower in (instance.jobs, instance.progress, instance.operator):
             follower.random = Random(seed)
 
     async def ask(self, step: StepKey, worker_ids: Sequence[str]) -> Allowance | None:
-        """Answer a question for advice."""
+        """Answer an advice request."""
         await asyncio.sleep(0.05)
         assert self.advised is not None
         return self.advised(step, worker_ids)
 
-    # Breaking
+    # Faults
 
     async def kill(self, name: str) -> None:
-        """End an instance's process at once."""
+        """Kill an instance."""
         task = self.tasks.pop(name)
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
         del self.instances[name]
 
     def holder(self) -> str | None:
-        """Return the instance that holds the cell, if one does."""
+        """Return the name of the instance that holds the cell, or None."""
         for name, instance in self.instances.items():
             if instance.holder is not None and instance.holder.may_send_orders():
                 return name
@@ -308,14 +316,14 @@
     # Callers
 
     def served(self) -> list[str]:
-        """Return the instances that the store serves."""
+        """Return the instances without a store fault."""
         faults = self.store.faults
         return [name for name in sorted(self.instances) if name not in faults]
 
     async def submit(
         self, job_id: str, queue: Queue, *steps: Step, via: str | None = None
     ) -> Submitted:
-        """Hand a job in, through one instance."""
+        """Submit a job through one instance, a random one by default."""
         name = via or self.random.choice(sorted(self.instances))
         instance = self.instances[name]
         job = Job(job_id, queue, "payload", steps, 0.0)
@@ -330,16 +338,16 @@
         instance = self.instances[via]
         outcome = await instance.callers.cancel(job_id, instance.clock.now_s() + 3.0)
         if isinstance(outcome, Accepted):
-            self.judge.cancelled_at_s.setdefault(job_id, instance.clock.now_s())
+            self.checker.cancelled_at_s.setdefault(job_id, instance.clock.now_s())
         return outcome
 
     async def status(self, job_id: str, via: str | None = None) -> object:
-        """Ask for a job's status."""
+        """Query a job's status."""
         name = via or self.served()[0]
         return await self.instances[name].callers.query(job_id)
 
     async def until_done(self, job_id: str, within_s: float) -> bool:
-        """Wait until a job is shown as completed."""
+        """Wait until a job is reported as completed; return False on a timeout."""
         deadline_s = asyncio.get_running_loop().time() + within_s
         while asyncio.get_running_loop().time() < deadline_s:
             if await self.status(job_id) is JobStatus.COMPLETED:
@@ -348,7 +356,7 @@
         return False
 
     async def until(self, what: Callable[[], bool], within_s: float) -> bool:
-        """Wait until something is so."""
+        """Wait until ``what`` returns true; return False on a timeout."""
         deadline_s = asyncio.get_running_loop().time() + within_s
         while asyncio.get_running_loop().time() < deadline_s:
             if what():
@@ -357,7 +365,7 @@
         return False
 
     async def close(self) -> None:
-        """End everything."""
+        """Cancel all tasks of the world."""
         tasks = list(self.tasks.values())
         for task in tasks:
             task.cancel()
--- a/packages/hornbeampaddle-standins/hornbeampaddle_standins/ledger.py
+++ b/packages/hornbeampaddle-standins/hornbeampaddle_standins/ledger.py
@@ -1,4 +1,4 @@
-"""Count what the stand-ins really did, apart from what the product says."""
+"""Record what the stand-ins executed, independently of the product's reports."""
 
 from dataclasses import dataclass, field
 
@@ -6,10 +6,10 @@
 @dataclass(slots=True)
 class Ledger:
     """
-    Executions, overlaps and overruns, over all workers.
+    Executions, duplicate executions and capacity overruns of all workers.
 
     A request or task counts as doubled when two runs of it overlap, or when a
-    run begins after another one ended as done.
+    run begins after another one was completed.
     """
 
     requests_begun: dict[str, int] = field(default_factory=dict)
@@ -24,7 +24,7 @@
     once: set[str] = field(default_factory=set)
 
     def request_begun(self, key: str, may_repeat: bool) -> None:
-        """Note that a request began to run."""
+        """Record the start of a request; ``may_repeat`` allows duplicates."""
         begun = self.requests_begun.get(key, 0)
         overlaps = begun > self.requests_ended.get(key, 0)
         if not may_repeat and (overlaps or begun):
@@ -32,11 +32,11 @@
         self.requests_begun[key] = begun + 1
 
     def request_ended(self, key: str) -> None:
-        """Note that a request's run is over, whole or not."""
+        """Record the end of a request's run, completed or not."""
         self.requests_ended[key] = self.requests_ended.get(key, 0) + 1
 
     def attempt_begun(self, task_id: str) -> None:
-        """Note that an attempt of a task began to run."""
+        """Record the start of an attempt of a task."""
         self.attempts_begun += 1
         running = self.tasks_running.get(task_id, 0)
         if running or task_id in self.tasks_done:
@@ -44,11 +44,11 @@
         self.tasks_running[task_id] = running + 1
 
     def attempt_ended(self, task_id: str, done: bool) -> None:
-        """Note that an attempt is over."""
+        """Record the end of an attempt; ``done`` if it completed the task."""
         self.tasks_running[task_id] -= 1
         if done:
             self.tasks_done[task_id] = self.tasks_done.get(task_id, 0) + 1
 
     def overrun(self, what: str) -> None:
-        """Note that a worker was given more than it holds."""
+        """Record an order that exceeds a worker's capacity."""
         self.overruns.append(what)
--- a/packages/hornbeampaddle-standins/hornbeampaddle_standins/log.py
+++ b/packages/hornbeampaddle-standins/hornbeampaddle_standins/log.py
@@ -1,11 +1,11 @@
-"""Stand in for the log service: streams, offsets, retention, outages."""
+"""Simulated log service: streams, offsets, retention, outages."""
 
 from dataclasses import dataclass, field
 from enum import Enum
 
 
 class LogFault(Enum):
-    """How the log service misbehaves at present."""
+    """The current fault of the log service."""
 
     NONE = "none"
     DOWN = "down"
@@ -29,13 +29,13 @@
 
     @property
     def oldest_offset(self) -> int:
-        """Return the oldest offset still kept."""
+        """Return the oldest retained offset."""
         return self.entries[0].offset if self.entries else self.next_offset
 
 
 @dataclass(slots=True)
 class LogMachine:
-    """All streams. ``kept`` bounds how many records a stream retains."""
+    """All streams; each retains at most ``kept`` records."""
 
     kept: int = 1_000_000
     fault: LogFault = LogFault.NONE
@@ -55,7 +55,7 @@
         return first
 
     def read(self, name: str, from_offset: int, limit: int) -> tuple[Stream, list]:
-        """Return a stream and up to ``limit`` records from an offset on."""
+        """Return a stream and up to ``limit`` entries from an offset on."""
         stream = self.streams.setdefault(name, Stream())
         start = max(0, from_offset - stream.oldest_offset)
         return stream, stream.entries[start : start + limit]
--- a/packages/hornbeampaddle-standins/hornbeampaddle_standins/servers.py
+++ b/packages/hornbeampaddle-standins/hornbeampaddle_standins/servers.py
@@ -1,4 +1,4 @@
-"""Put HTTP in front of the stand-ins."""
+"""HTTP servers for the stand-ins."""
 
 import asyncio
 import hashlib
@@ -35,10 +35,10 @@
 @dataclass(slots=True)
 class ServiceTimes:
     """
-    How long requests run: a base, and what batch work beside them adds.
+    The run times of requests: a base time, slowed down by batch work beside them.
 
-    The slow-down grows with the share of the worker's processors that batch
-    attempts use; the product cannot see this rule.
+    The slow-down grows linearly with the share of the worker's CPU that batch
+    attempts use; the product does not know this rule.
     """
 
     base_s: float = 0.010
@@ -54,12 +54,12 @@
 
 
 class WorkerServer:
-    """One worker on a port of its own."""
+    """The HTTP server of one worker."""
 
     def __init__(
         self, worker: Worker, ledger: Ledger, times: ServiceTimes, clock_offset_s: float
     ) -> None:
-        """Make the worker; its clock is the loop's plus an offset."""
+        """Create the worker; its clock is the loop's plus ``clock_offset_s``."""
         self.machine = WorkerMachine(worker, ledger)
         self.times = times
         self.clock_offset_s = clock_offset_s
@@ -71,7 +71,7 @@
         return self.machine.worker
 
     def now_s(self) -> float:
-        """Return the worker's clock."""
+        """Return the time of the worker's clock."""
         return asyncio.get_running_loop().time() + self.clock_offset_s
 
     async def start(self) -> None:
@@ -80,7 +80,7 @@
         self.machine.worker = replace(self.worker, address=address)
 
     async def kill(self) -> None:
-        """Go down at once, losing what runs."""
+        """Close the server and lose all that runs."""
         await self.server.close()
         self.machine.crash()
 
@@ -174,7 +174,7 @@
     """The log service and the instance list on one port."""
 
     def __init__(self, log: LogMachine, instances: InstanceList) -> None:
-        """Put one listener before both."""
+        """Serve ``log`` and ``instances`` on one port."""
         self.log = log
         self.instances = instances
         self.server = HttpServer("platform", LIMITS, self._handle)
--- a/packages/hornbeampaddle-standins/hornbeampaddle_standins/worker.py
+++ b/packages/hornbeampaddle-standins/hornbeampaddle_standins/worker.py
@@ -1,4 +1,4 @@
-"""Stand in for a worker: leases, epochs, slots, checkpoints, late reports."""
+"""Simulated worker: leases, epochs, slots, checkpoints, late reports."""
 
 from dataclasses import dataclass, field, replace
 
@@ -19,7 +19,7 @@
 
 from .ledger import Ledger
 
-ENDED_KEPT = 20_000
+ENDED_ATTEMPTS_MAX = 20_000
 
 
 @dataclass(slots=True)
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestRun:
-    """A request in flight and what it holds."""
+    """A request in flight and the resources that it uses."""
 
     key: str
     service: str
@@ -47,29 +47,29 @@
 @dataclass(slots=True)
 class WorkerMachine:
     """
-    One worker. All times are on the worker's own clock.
+    The state machine of one worker; all times are on the worker's own clock.
 
-    ``checks_room`` off makes it take whatever it is given, as a worker that
-    checks little would; the ledger then shows overruns.
+    With ``enforces_capacity`` off the worker accepts orders beyond its capacity, as
+    one with few checks would, and the ledger records the overruns.
     """
 
     worker: Worker
     ledger: Ledger
-    checks_room: bool = True
+    enforces_capacity: bool = True
     fails_everything: bool = False
     epoch: int = 0
     decider: str = ""
-    # Tasks that bring the worker down as they start; it is back at once.
-    crashed_by: set[str] = field(default_factory=set)
+    # Tasks that crash the worker as they start; it restarts immediately.
+    crashing_tasks: set[str] = field(default_factory=set)
     runs: dict[AttemptId, _Run] = field(default_factory=dict)
     ended: dict[AttemptId, Attempt] = field(default_factory=dict)
     requests: dict[str, RequestRun] = field(default_factory=dict)
     cancelled: dict[str, float] = field(default_factory=dict)
-    # Checkpoints live on the platform, so all workers share them.
+    # Checkpoints are stored on the platform, so all workers share them.
     checkpoints: dict[str, tuple[int, float]] = field(default_factory=dict)
 
     def claim(self, decider: str, now_s: float) -> WorkerReport:
-        """Hand out a new epoch with everything that the worker runs."""
+        """Grant a new epoch to ``decider``; report all that the worker runs."""
         self.advance(now_s)
         self.epoch += 1
         self.decider = decider
@@ -78,7 +78,7 @@
     def start(
         self, epoch: int, order: TaskOrder, lease_deadline_s: float, now_s: float
     ) -> Started | Refused | Fenced:
-        """Start an attempt; a repeat of the same start changes nothing."""
+        """Start an attempt; idempotent for a repeated start."""
         self.advance(now_s)
         if epoch < self.epoch:
             return Fenced(self.epoch, self.decider)
@@ -86,8 +86,8 @@
             return Started(now_s)
         if lease_deadline_s <= now_s:
             return Refused("lease deadline has passed")
-        if not order.needs.fits_in(self._room()):
-            if self.checks_room:
+        if not order.needs.fits_in(self._free_capacity()):
+            if self.enforces_capacity:
                 return Refused("no room")
             self.ledger.overrun(f"{self.worker.worker_id} task {order.attempt}")
         generation, progress_s = self.checkpoints.get(
@@ -97,7 +97,7 @@
         self.ledger.attempt_begun(order.attempt.task_id)
         if self.fails_everything:
             self._end(order.attempt, Ending.FAILED, now_s)
-        if order.attempt.task_id in self.crashed_by:
+        if order.attempt.task_id in self.crashing_tasks:
             self.crash()
         return Started(now_s)
 
@@ -109,7 +109,7 @@
         acknowledged: tuple[AttemptId, ...],
         now_s: float,
     ) -> WorkerReport | Fenced:
-        """Extend leases, forget acknowledged ends and report."""
+        """Extend leases, drop acknowledged ends and report the other attempts."""
         self.advance(now_s)
         if epoch < self.epoch:
             return Fenced(self.epoch, self.decider)
@@ -123,14 +123,16 @@
             a for a in attempts if a not in self.runs and a not in self.ended
         )
         whole = self._report(now_s)
-        named = set(attempts) & set(self.runs)
-        told = tuple(a for a in whole.attempts if a.order.attempt not in named)
-        return replace(whole, attempts=told, delta=True, absent=absent)
+        renewed = set(attempts) & set(self.runs)
+        other_attempts = tuple(
+            a for a in whole.attempts if a.order.attempt not in renewed
+        )
+        return replace(whole, attempts=other_attempts, delta=True, absent=absent)
 
     def stop(
         self, epoch: int, attempt: AttemptId, checkpoint: bool, now_s: float
     ) -> Stopped | Refused | Fenced:
-        """End an attempt, with a checkpoint first if asked."""
+        """End an attempt, after saving a checkpoint if requested."""
         self.advance(now_s)
         if epoch < self.epoch:
             return Fenced(self.epoch, self.decider)
@@ -155,7 +157,7 @@
     def begin_request(
         self, epoch: int, run: RequestRun, now_s: float, may_repeat: bool
     ) -> Fenced | Refused | None:
-        """Take a slot for a request; None means that it runs now."""
+        """Start a request in a slot; return None, or the reason for a refusal."""
         self.advance(now_s)
         if epoch < self.epoch:
             return Fenced(self.epoch, self.decider)
@@ -164,8 +166,8 @@
         if run.key in self.requests:
             return Refused("already running")
         full = len(self.requests) >= self.worker.slots
-        if full or not run.needs.fits_in(self._room()):
-            if self.checks_room:
+        if full or not run.needs.fits_in(self._free_capacity()):
+            if self.enforces_capacity:
                 return Refused("full")
             self.ledger.overrun(f"{self.worker.worker_id} request {run.key}")
         self.requests[run.key] = run
@@ -179,14 +181,15 @@
 
     def cancel_request(self, key: str, now_s: float) -> bool:
         """
-        Bar a request for good; tell whether it is certain that it never ran
-        and is not running.
+        Reject a request from now on.
+
+        Return whether it is certain that the request never ran and is not running.
         """
         self.cancelled[key] = now_s
         return key not in self.requests and key not in self.ledger.requests_begun
 
     def advance(self, now_s: float) -> None:
-        """End what has finished or whose lease has run out."""
+        """End attempts that have finished or whose lease has expired."""
         for attempt, run in list(self.runs.items()):
             finish_s = run.begun_s + (run.order.run_s - run.progress_s) / run.speed
             if finish_s <= min(now_s, run.lease_deadline_s):
@@ -206,11 +209,11 @@
         self.ended[attempt] = Attempt(
             run.order, RunState.ENDED, 0.0, ending, generation, progress
         )
-        if len(self.ended) > ENDED_KEPT:
+        if len(self.ended) > ENDED_ATTEMPTS_MAX:
             self.ended.pop(next(iter(self.ended)))
         self.ledger.attempt_ended(attempt.task_id, ending is Ending.DONE)
 
-    def _room(self) -> Resources:
+    def _free_capacity(self) -> Resources:
         return self.worker.capacity - self._used()
 
     def _used(self) -> Resources:
@@ -248,7 +251,7 @@
         )
 
     def crash(self) -> None:
-        """Lose everything that runs, as when the machine goes down."""
+        """Lose all attempts and requests, as in a machine crash."""
         for attempt in list(self.runs):
             self._end(attempt, Ending.FAILED, self.runs[attempt].begun_s)
         self.ended.clear()
