--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/__init__.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/__init__.py
@@ -1,1 +1,1 @@
-"""Run one entry instance: the daemon around the hornbeampaddle library."""
+"""The entry instance daemon, which is built on the hornbeampaddle library."""
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/adapters.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/adapters.py
@@ -1,4 +1,4 @@
-"""Reach the platform over HTTP: the adapters behind the ports."""
+"""Implement the platform ports over HTTP."""
 
 import asyncio
 from typing import Any, TypeVar
@@ -31,14 +31,18 @@
 
 from .ports import AnswerCutShort, Answered, Page, RequestAnswer, WorkerRequest
 
-OK = 200
-CONTROL_CONNECTIONS = 2
+STATUS_OK = 200
+CONTROL_CONNECTIONS_MAX = 2
 
 T = TypeVar("T")
 
 
 class HttpWorker:
-    """One worker, over two pools: control calls never wait behind requests."""
+    """
+    One worker, reached over two connection pools.
+
+    Control calls have their own pool, so they never wait behind requests.
+    """
 
     def __init__(
         self,
@@ -48,24 +52,24 @@
         traffic: HttpTraffic | None = None,
     ) -> None:
         """
-        Keep the pools; connections are opened when they are needed.
+        Create the pools; connections are opened on demand.
 
         ``traffic`` counts control calls only.
         """
         self.timing = timing
         counted = traffic or HttpTraffic()
-        self.control = HttpClient(address, CONTROL_CONNECTIONS, traffic=counted)
+        self.control = HttpClient(address, CONTROL_CONNECTIONS_MAX, traffic=counted)
         self.requests = HttpClient(address, limits.connections_per_worker)
 
     def close(self) -> None:
-        """Drop the idle connections."""
+        """Close the idle connections."""
         self.control.close()
         self.requests.close()
 
     async def claim(
         self, call: ClaimWorker, decider: str
     ) -> WorkerReport | Refused | NoAnswer | NotSent:
-        """Ask for a new epoch."""
+        """Claim the worker, which issues a new epoch."""
         body = platform.ClaimBody(decider)
         answer = await self._call("/claim", body, platform.ReportBody)
         match answer:
@@ -105,7 +109,7 @@
     async def renew(
         self, call: RenewLeases
     ) -> WorkerReport | Refused | Fenced | NoAnswer | NotSent:
-        """Extend leases and get a report."""
+        """Renew leases and return the worker's report."""
         body = platform.RenewBody(
             call.epoch,
             tuple(str(a) for a in call.attempts),
@@ -133,7 +137,7 @@
                 return NoAnswer(exchange.detail)
 
     async def run(self, request: WorkerRequest) -> RequestAnswer:
-        """Run a request to its end."""
+        """Run a request and return its answer."""
         timeout_s = request.deadline_s - asyncio.get_running_loop().time()
         needs = msgspec.json.encode(needs_body(request.needs)).decode()
         headers = {
@@ -163,10 +167,14 @@
                 return AnswerCutShort(exchange.detail)
 
     async def bar(self, key: str) -> bool:
-        """Bar a request for good; True only if it never ran and is not running."""
+        """
+        Make the worker refuse a request key from now on.
+
+        Return True only if the request never ran and isn't running.
+        """
         request = Request("DELETE", "/requests/any", {"request-key": key})
         exchange = await self.control.call(request, self.timing.call_timeout_s)
-        if not isinstance(exchange, Response) or exchange.status != OK:
+        if not isinstance(exchange, Response) or exchange.status != STATUS_OK:
             return False
         try:
             barred = msgspec.json.decode(exchange.body, type=dict[str, Any])
@@ -178,12 +186,12 @@
 def _decode(
     response: Response, answer_type: type[T]
 ) -> T | Refused | Fenced | NoAnswer:
-    if response.status != OK:
+    if response.status != STATUS_OK:
         return _refusal(response)
     try:
         return msgspec.json.decode(response.body, type=answer_type)
     except ValueError as error:
-        # An answer that cannot be read may belong to a call that took effect.
+        # The call may have taken effect although its answer can't be decoded.
         return NoAnswer(str(error))
 
 
@@ -208,15 +216,20 @@
     def __init__(
         self, address: Address, timing: Timing, traffic: HttpTraffic | None = None
     ) -> None:
-        """Keep a small pool; reads and appends share it."""
+        """Create a small connection pool, shared by reads and appends."""
         self.timing = timing
         counted = traffic or HttpTraffic()
-        self.client = HttpClient(address, CONTROL_CONNECTIONS, traffic=counted)
+        self.client = HttpClient(address, CONTROL_CONNECTIONS_MAX, traffic=counted)
 
     async def append(
         self, stream: str, records: tuple[bytes, ...]
     ) -> Result[int, NotSent | NoAnswer]:
-        """Append records; an error says whether they may have been appended."""
+        """
+        Append records and return the offset of the first.
+
+        The error ``NoAnswer`` means that they may have been appended, ``NotSent``
+        that they weren't.
+        """
         body = msgspec.json.encode(platform.AppendBody(records))
         request = Request("POST", f"/streams/{stream}", body=body)
         exchange = await self.client.call(request, self.timing.call_timeout_s)
@@ -237,7 +250,7 @@
                 return Err(NoAnswer(exchange.detail))
 
     async def read(self, stream: str, from_offset: int) -> Result[Page, str]:
-        """Read records from an offset on."""
+        """Return records from ``from_offset`` on."""
         request = Request("GET", f"/streams/{stream}?from={from_offset}")
         exchange = await self.client.call(request, self.timing.call_timeout_s)
         match exchange:
@@ -255,12 +268,12 @@
 
 
 class HttpList:
-    """The instance list over HTTP; an unchanged list is not sent again."""
+    """The instance list over HTTP, which is transferred only if it has changed."""
 
     def __init__(
         self, address: Address, timing: Timing, traffic: HttpTraffic | None = None
     ) -> None:
-        """Remember which version of the list was read last."""
+        """Start without a known version of the list."""
         self.timing = timing
         counted = traffic or HttpTraffic()
         self.client = HttpClient(address, 1, traffic=counted)
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/callers.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/callers.py
@@ -1,8 +1,8 @@
 """
 Serve callers over HTTP: request keys, requests and jobs.
 
-Every answer to a request says one of done, not_run and unknown in the header
-``request-outcome``, and the last two carry a reason that programs can match.
+Every answer to a request has the header ``request-outcome``, which is one of done,
+not_run and unknown. The last two carry a machine-readable reason.
 """
 
 import asyncio
@@ -22,13 +22,13 @@
 from hornbeampaddle_wire.http_server import error_response
 
 from .context import Context
-from .jobkeeper import JobKeeper
+from .job_manager import JobManager
 from .mail import CancelMail, JobAnswer, JobMail, KeysMail, Mail, RequestMail, Ticket
 from .telemetry import Traces
 
 DEFAULT_TIMEOUT_S = 10.0
 JOB_TIMEOUT_S = 5.0
-JOBS_LISTED = 1000
+JOBS_LISTED_MAX = 1000
 
 STATUS_OF_NOT_RUN = {
     Reason.UNKNOWN_SERVICE: 404,
@@ -53,23 +53,23 @@
 
 
 class KeysBody(Struct, frozen=True, forbid_unknown_fields=True):
-    """A caller's wish for keys that may be run for ``valid_s`` from now."""
+    """A request for keys whose requests may be started for ``valid_s`` from now."""
 
     count: Annotated[int, Meta(ge=1)] = 1
     valid_s: Annotated[float, Meta(gt=0)] = DEFAULT_TIMEOUT_S
 
 
 class CallerApi:
-    """The callers' interface of one entry instance."""
+    """The HTTP API of one entry instance for callers."""
 
     def __init__(
         self,
         context: Context,
         post: Callable[[Mail], None],
-        jobs: JobKeeper,
+        jobs: JobManager,
         traces: Traces,
     ) -> None:
-        """Requests go to the control task; reads look at its state."""
+        """Answer reads from the control task's state, and post all else to the task."""
         self.context = context
         self.post = post
         self.jobs = jobs
@@ -131,7 +131,7 @@
         return outcome_response(outcome, ticket.key_text)
 
     async def _outcome(self, ticket: Ticket) -> Outcome:
-        """Wait for the outcome, a little past the deadline at most."""
+        """Wait for the outcome until shortly after the request's deadline."""
         margin_s = 2 * self.context.timing.heartbeat_interval_s
         margin_s += self.context.timing.call_timeout_s
         try:
@@ -153,16 +153,16 @@
 
     async def _keys(self, request: Request) -> Response:
         try:
-            wish = msgspec.json.decode(request.body or b"{}", type=KeysBody)
+            keys_body = msgspec.json.decode(request.body or b"{}", type=KeysBody)
         except ValueError as error:
             return error_response(400, "bad_request", str(error))
         limits = self.context.limits
-        if wish.count > limits.keys_per_call:
+        if keys_body.count > limits.keys_per_call:
             detail = f"count must be at most {limits.keys_per_call}"
             return error_response(400, "bad_request", detail)
-        valid_s = min(wish.valid_s, limits.request_deadline_max_s)
+        valid_s = min(keys_body.valid_s, limits.request_deadline_max_s)
         done: asyncio.Future[list[str]] = asyncio.get_running_loop().create_future()
-        self.post(KeysMail(wish.count, self.context.now_s() + valid_s, done))
+        self.post(KeysMail(keys_body.count, self.context.now_s() + valid_s, done))
         keys = await done
         return Response(200, msgspec.json.encode({"keys": keys, "valid_s": valid_s}))
 
@@ -177,7 +177,7 @@
             async with asyncio.timeout(JOB_TIMEOUT_S):
                 answer = await asyncio.shield(done)
         except TimeoutError:
-            answer = self.jobs.give_up(spec.job_id)
+            answer = self.jobs.on_timeout(spec.job_id)
         return _job_answer(spec.job_id, answer, 201)
 
     async def _cancel(self, job_id: str) -> Response:
@@ -191,7 +191,7 @@
         return _job_answer(job_id, answer, 200)
 
     def _list_jobs(self) -> Response:
-        listed = list_jobs(self.jobs.table, JOBS_LISTED)
+        listed = list_jobs(self.jobs.table, JOBS_LISTED_MAX)
         return Response(200, msgspec.json.encode({"jobs": listed}))
 
     def _show_job(self, job_id: str) -> Response:
@@ -209,35 +209,35 @@
 
 
 def show_job(table: JobTable, job_id: str) -> dict[str, object] | None:
-    """Return what callers and operators are shown of a job."""
+    """Return a job's summary for callers and operators, or None if unknown."""
     job = table.jobs.get(job_id)
     if job is not None:
-        return _live_job(job)
+        return _live_job_summary(job)
     finished = table.finished.get(job_id)
     if finished is not None:
-        return _described(finished.spec, finished.owner, finished.ends, "over")
+        return _job_summary(finished.spec, finished.owner, finished.ends, "over")
     return None
 
 
-def list_jobs(table: JobTable, most: int) -> list[dict[str, object]]:
-    """Return the live jobs and the newest finished ones."""
-    live = [_live_job(job) for job in table.jobs.values()]
+def list_jobs(table: JobTable, jobs_max: int) -> list[dict[str, object]]:
+    """Return summaries of live and newest finished jobs, up to ``jobs_max``."""
+    live = [_live_job_summary(job) for job in table.jobs.values()]
     finished = [
-        _described(job.spec, job.owner, job.ends, "over")
-        for job in list(table.finished.values())[-most:]
+        _job_summary(job.spec, job.owner, job.ends, "over")
+        for job in list(table.finished.values())[-jobs_max:]
     ]
-    return (live + finished)[:most]
+    return (live + finished)[:jobs_max]
 
 
-def _live_job(job: Job) -> dict[str, object]:
+def _live_job_summary(job: Job) -> dict[str, object]:
     ends: dict[str, int] = {}
     for end in job.ended.values():
         ends[end.value] = ends.get(end.value, 0) + 1
     state = "cancelling" if job.cancelled else "accepted"
-    return _described(job.spec, job.owner, ends, state)
+    return _job_summary(job.spec, job.owner, ends, state)
 
 
-def _described(
+def _job_summary(
     spec: JobSpec, owner: str, ends: dict[str, int], state: str
 ) -> dict[str, object]:
     return {
@@ -281,7 +281,7 @@
 def _refusal(name: str, status: int, outcome: NotRun | Unknown, key: str) -> Response:
     body: dict[str, object] = {"outcome": name, "reason": outcome.reason.value}
     headers = {"request-outcome": name}
-    # A key that was refused is a caller's own text; it is not sent back.
+    # An invalid key is arbitrary text from the caller and must not be echoed.
     if outcome.reason is not Reason.KEY_INVALID:
         headers["request-key"] = key
     if outcome.retry_after_s is not None:
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/context.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/context.py
@@ -1,4 +1,4 @@
-"""Hold what all parts of one entry instance's control share."""
+"""Define the state that all control components of one entry instance share."""
 
 import random
 from collections.abc import Callable, Coroutine
@@ -21,10 +21,10 @@
 @dataclass(slots=True)
 class Context:
     """
-    The settings, views and ways out that the control parts work with.
+    The settings, shared state and outgoing interfaces of the control components.
 
-    ``send`` hands a message to a peer, or drops it. ``spawn`` runs a call in a
-    task of its own that is cancelled when the instance stops.
+    ``send`` sends a message to a peer, or drops it and returns False. ``spawn`` runs
+    a coroutine in its own task, which is cancelled when the instance stops.
     """
 
     settings: Settings
@@ -47,18 +47,18 @@
     leaving: bool = False
 
     def now_s(self) -> float:
-        """Return the instance's clock."""
+        """Return the time of the instance's clock in seconds."""
         return self.clock()
 
     def usable(self, worker: Worker) -> bool:
-        """Tell whether a worker may get new work."""
+        """Tell whether a worker may be given new work."""
         listed = self.workers.get(worker.worker_id)
         if listed is None or listed.standing.value != "live":
             return False
         return self.configuration.takes_work(listed)
 
-    def keeps_work(self, worker: Worker) -> bool:
-        """Tell whether what runs on a worker may run on there."""
+    def may_keep_attempts(self, worker: Worker) -> bool:
+        """Tell whether the attempts that run on a worker may continue."""
         listed = self.workers.get(worker.worker_id)
         if listed is None or listed.standing.value != "live":
             return False
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/desk.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/dispatcher.py
@@ -1,4 +1,4 @@
-"""Take callers' requests, run each on one worker, and say how it ended."""
+"""Accept callers' requests, run each on one worker and return its outcome."""
 
 import asyncio
 import hashlib
@@ -38,7 +38,7 @@
 from .ports import AnswerCutShort, Answered, WorkerPort, WorkerRequest
 from .telemetry import Traces
 
-RUNS_MAX = 3
+RUNS_PER_REQUEST_MAX = 3
 RETRY_AFTER_S = 0.5
 RETRY_TOKENS_MAX = 20.0
 RETRY_TOKENS_PER_REQUEST = 0.1
@@ -49,16 +49,20 @@
 
 @dataclass(slots=True)
 class RetryBudget:
-    """Allow one retry for every ten requests, so that retries cannot amplify."""
+    """
+    A token bucket that limits retries to one for every ten requests.
+
+    Without a limit, retries would multiply the load of an overload.
+    """
 
     tokens: float = RETRY_TOKENS_MAX
 
     def earn(self) -> None:
-        """Count a request that came in."""
+        """Add the share of a token that a new request earns."""
         self.tokens = min(RETRY_TOKENS_MAX, self.tokens + RETRY_TOKENS_PER_REQUEST)
 
     def spend(self) -> bool:
-        """Take a token for a retry, if there is one."""
+        """Take a token for a retry; return False if there is none."""
         if self.tokens < 1:
             return False
         self.tokens -= 1
@@ -66,33 +70,37 @@
 
 
 @dataclass(slots=True)
-class _Lines:
-    """The requests of one service here: in flight and waiting."""
+class _ServiceLoad:
+    """One service's queued and in-flight requests on this entry instance."""
 
     queue: RequestQueue
     in_flight: int = 0
     latency_s: float = 0.0
     budget: RetryBudget = field(default_factory=RetryBudget)
 
-    def ran(self, latency_s: float) -> None:
-        """Take in how long a request took on its worker."""
+    def record_latency(self, latency_s: float) -> None:
+        """Add a request's latency on its worker to the moving average."""
         if not self.latency_s:
             self.latency_s = latency_s
         self.latency_s += LATENCY_WEIGHT * (latency_s - self.latency_s)
 
     def wait_s(self) -> float:
-        """Return how long a request that joins the queue is expected to wait."""
+        """Return the expected wait in seconds of a request that is queued now."""
         ahead = len(self.queue) + 1
         return ahead / max(1, self.in_flight) * self.latency_s
 
 
-class Desk:
-    """The request path of one entry instance."""
+class RequestDispatcher:
+    """Dispatches the requests of one entry instance to workers."""
 
     def __init__(
         self, context: Context, fleet: Fleet, slots: SlotPool, traces: Traces
     ) -> None:
-        """Start with an empty memory of keys: older keys are not ours."""
+        """
+        Start without request keys.
+
+        Keys issued before the start belong to another incarnation.
+        """
         self.context = context
         self.fleet = fleet
         self.slots = slots
@@ -102,12 +110,12 @@
             context.incarnation,
             context.limits.keys_remembered,
         )
-        self.lines: dict[str, _Lines] = {}
-        self.counts: dict[str, int] = {}
+        self.service_load: dict[str, _ServiceLoad] = {}
+        self.outcome_counts: dict[str, int] = {}
         self._running: dict[str, Ticket] = {}
-        self._waiting: dict[str, QueuedRequest] = {}
-        self._forwards: dict[str, Ticket] = {}
-        self.loans = Loans(context, slots, self.pump)
+        self._queued_requests: dict[str, QueuedRequest] = {}
+        self._forwarded: dict[str, Ticket] = {}
+        self.loans = Loans(context, slots, self.serve_queue)
         self._numbers = itertools.count(1)
 
     def mint(self, count: int, deadline_s: float) -> list[str]:
@@ -116,7 +124,7 @@
         return [str(self.keeper.mint(now_s, deadline_s)) for _ in range(count)]
 
     def submit(self, ticket: Ticket, now_s: float) -> None:
-        """Take a request; its outcome comes through ``ticket.done``."""
+        """Handle a request; its outcome is set on the future ``ticket.done``."""
         if not ticket.key_text:
             if self.context.leaving:
                 self._answer(ticket, NotRun(Reason.INSTANCE_STOPPING, RETRY_AFTER_S))
@@ -153,7 +161,7 @@
         if refusal is not None:
             self._finish(ticket, refusal)
             return
-        self._lines_of(ticket.service).budget.earn()
+        self._load_of(ticket.service).budget.earn()
         self._dispatch(ticket, now_s)
 
     def _refusal(self, ticket: Ticket, now_s: float) -> NotRun | None:
@@ -167,46 +175,48 @@
             return NotRun(Reason.UNKNOWN_SERVICE)
         if now_s >= ticket.deadline_s:
             return NotRun(Reason.DEADLINE_PASSED)
-        if self._lines_of(ticket.service).in_flight >= service.in_flight_max:
+        if self._load_of(ticket.service).in_flight >= service.in_flight_max:
             return NotRun(Reason.QUOTA_EXCEEDED, RETRY_AFTER_S)
         return None
 
-    def _lines_of(self, service: str) -> _Lines:
-        lines = self.lines.get(service)
-        if lines is None:
-            lines = _Lines(RequestQueue(self.context.limits.queued_requests))
-            self.lines[service] = lines
-        return lines
+    def _load_of(self, service: str) -> _ServiceLoad:
+        service_load = self.service_load.get(service)
+        if service_load is None:
+            service_load = _ServiceLoad(
+                RequestQueue(self.context.limits.queued_requests)
+            )
+            self.service_load[service] = service_load
+        return service_load
 
     def _dispatch(self, ticket: Ticket, now_s: float) -> None:
         slot = self.slots.take(ticket.service, now_s, ticket.barred_on)
         if slot is not None:
             self._run(ticket, slot)
             return
-        lines = self._lines_of(ticket.service)
-        queue = lines.queue
-        wait_s = lines.wait_s()
-        # Overload is told to the caller at once: a request that waits in vain
-        # delays those that could still be served.
-        if now_s + wait_s + lines.latency_s > ticket.deadline_s:
+        service_load = self._load_of(ticket.service)
+        queue = service_load.queue
+        wait_s = service_load.wait_s()
+        # A request that would miss its deadline is rejected at once: in the queue it
+        # would delay requests that can still be served in time.
+        if now_s + wait_s + service_load.latency_s > ticket.deadline_s:
             self._finish(ticket, NotRun(Reason.TOO_LATE_TO_RUN, wait_s))
             return
         waiting = queue.push(ticket, ticket.urgency, ticket.deadline_s)
         if waiting is None:
             self._finish(ticket, NotRun(Reason.QUEUE_FULL, RETRY_AFTER_S))
             return
-        self._waiting[ticket.key] = waiting
+        self._queued_requests[ticket.key] = waiting
         self.loans.borrow(ticket.service, len(queue))
 
     def _run(self, ticket: Ticket, slot: Slot) -> None:
         service = self.context.configuration.services.get(ticket.service)
         worker = self.context.workers.get(slot.worker_id)
         if service is None or worker is None:
-            self._put(slot, None)
+            self._release(slot, None)
             self._finish(ticket, NotRun(Reason.UNKNOWN_SERVICE))
             return
         ticket.runs += 1
-        self._lines_of(ticket.service).in_flight += 1
+        self._load_of(ticket.service).in_flight += 1
         port = self.fleet.ports[slot.worker_id]
         self.context.spawn(self._call(ticket, slot, port, service))
 
@@ -237,44 +247,51 @@
         self.context.post(RunMail(ticket, slot, answer, barred, latency_s))
 
     def on_run(self, mail: RunMail, now_s: float) -> None:
-        """Take the end of a run: answer, or try again where that is safe."""
+        """Handle the end of a run: return the outcome, or retry where that is safe."""
         ticket, slot = mail.ticket, mail.slot
-        self._lines_of(ticket.service).in_flight -= 1
+        self._load_of(ticket.service).in_flight -= 1
         match mail.answer:
             case Answered() as answer:
-                self._put(slot, mail.latency_s)
-                self._lines_of(ticket.service).ran(mail.latency_s)
+                self._release(slot, mail.latency_s)
+                self._load_of(ticket.service).record_latency(mail.latency_s)
                 done = Done(
                     answer.status, answer.content_type, answer.body, slot.worker_id
                 )
                 self._finish(ticket, done)
             case Refused():
-                self._put(slot, None)
-                self._again(ticket, NotRun(Reason.WORKER_REFUSED, RETRY_AFTER_S), now_s)
+                self._release(slot, None)
+                self._retry_or_finish(
+                    ticket, NotRun(Reason.WORKER_REFUSED, RETRY_AFTER_S), now_s
+                )
             case Fenced() as fenced:
                 ticket.runs -= 1
-                self._fenced(slot, fenced, now_s)
-                self._again(ticket, NotRun(Reason.NO_CAPACITY, RETRY_AFTER_S), now_s)
+                self._on_fenced(slot, fenced, now_s)
+                self._retry_or_finish(
+                    ticket, NotRun(Reason.NO_CAPACITY, RETRY_AFTER_S), now_s
+                )
             case NotSent():
                 self.slots.back_off(slot, now_s)
-                self._put(slot, None)
+                self._release(slot, None)
                 outcome = NotRun(Reason.WORKER_UNREACHABLE, RETRY_AFTER_S)
-                self._again(ticket, outcome, now_s)
+                self._retry_or_finish(ticket, outcome, now_s)
             case NoAnswer() | AnswerCutShort() as lost:
                 self.slots.back_off(slot, now_s)
-                self._lost(mail, lost, now_s)
-        self.pump(ticket.service, now_s)
+                self._on_answer_lost(mail, lost, now_s)
+        self.serve_queue(ticket.service, now_s)
 
-    def _lost(
+    def _on_answer_lost(
         self, mail: RunMail, answer: NoAnswer | AnswerCutShort, now_s: float
     ) -> None:
-        """Settle a run whose whole answer will not come."""
+        """Handle a run whose answer is missing or incomplete."""
         ticket, slot = mail.ticket, mail.slot
         if mail.barred:
-            # The worker itself said that the key never ran and never will.
+            # The worker confirmed that it never ran the key and now refuses it, so
+            # running the request elsewhere is safe.
             ticket.barred_on.add(slot.worker_id)
-            self._put(slot, None)
-            self._again(ticket, NotRun(Reason.WORKER_REFUSED, RETRY_AFTER_S), now_s)
+            self._release(slot, None)
+            self._retry_or_finish(
+                ticket, NotRun(Reason.WORKER_REFUSED, RETRY_AFTER_S), now_s
+            )
             return
         self.slots.abandon(slot)
         reason = Reason.ANSWER_LOST
@@ -282,39 +299,43 @@
             reason = Reason.ANSWER_CUT_SHORT
         service = self.context.configuration.services.get(ticket.service)
         if service is not None and service.repeat == Repeat.IDEMPOTENT.value:
-            self._again(ticket, Unknown(reason), now_s)
+            self._retry_or_finish(ticket, Unknown(reason), now_s)
         else:
             self._finish(ticket, Unknown(reason))
 
-    def _again(self, ticket: Ticket, outcome: Outcome, now_s: float) -> None:
-        """Run a request once more, or give it its outcome at once."""
-        lines = self._lines_of(ticket.service)
+    def _retry_or_finish(self, ticket: Ticket, outcome: Outcome, now_s: float) -> None:
+        """Retry a request if its limits allow it; otherwise finish it."""
+        service_load = self._load_of(ticket.service)
         in_time = now_s < ticket.deadline_s - DEADLINE_MARGIN_S
-        if ticket.runs < RUNS_MAX and in_time and lines.budget.spend():
+        if (
+            ticket.runs < RUNS_PER_REQUEST_MAX
+            and in_time
+            and service_load.budget.spend()
+        ):
             self.context.metrics.count("requests.retried")
             self._dispatch(ticket, now_s)
         else:
             self._finish(ticket, outcome)
 
-    def _fenced(self, slot: Slot, answer: Fenced, now_s: float) -> None:
-        # Guards against slots of an epoch that is over: the worker refuses all
-        # of them, and each would cost a request one of its few runs.
+    def _on_fenced(self, slot: Slot, answer: Fenced, now_s: float) -> None:
+        # Guards against using more slots of a superseded epoch: the worker refuses
+        # all of them, and each attempt would use up one of a request's few runs.
         if slot.grant_id:
             self.slots.borrowed.pop(slot.grant_id, None)
             return
-        lane = self.slots.slot_groups.get((slot.worker_id, slot.service))
-        if lane is not None and lane.epoch == slot.epoch:
+        slot_group = self.slots.slot_groups.get((slot.worker_id, slot.service))
+        if slot_group is not None and slot_group.epoch == slot.epoch:
             self.fleet.fenced(slot.worker_id, answer, now_s)
 
-    def _put(self, slot: Slot, latency_s: float | None) -> None:
+    def _release(self, slot: Slot, latency_s: float | None) -> None:
         returned = self.slots.put(slot, self.context.now_s(), latency_s)
         if returned is not None:
             self.loans.give_back(returned)
 
-    def pump(self, service: str, now_s: float) -> None:
-        """Run waiting requests while there are slots."""
-        lines = self._lines_of(service)
-        queue = lines.queue
+    def serve_queue(self, service: str, now_s: float) -> None:
+        """Run queued requests of a service while it has free slots."""
+        service_load = self._load_of(service)
+        queue = service_load.queue
         while len(queue):
             slot = self.slots.take(service, now_s)
             if slot is None:
@@ -322,48 +343,49 @@
                 return
             waiting = queue.pop()
             if waiting is None:
-                self._put(slot, None)
+                self._release(slot, None)
                 return
             ticket = waiting.ticket
             assert isinstance(ticket, Ticket)
-            self._waiting.pop(ticket.key, None)
+            self._queued_requests.pop(ticket.key, None)
             if slot.worker_id in ticket.barred_on:
-                self._put(slot, None)
+                self._release(slot, None)
                 self._dispatch(ticket, now_s)
                 return
-            # Guards against answers that come too late: a run that cannot end
-            # in time would take a slot and leave its caller not knowing.
-            if now_s + lines.latency_s >= ticket.deadline_s:
-                self._put(slot, None)
-                refusal = NotRun(Reason.TOO_LATE_TO_RUN, lines.wait_s())
+            # Guards against answers after the deadline: a run that can't end in time
+            # would occupy a slot, and its caller would not learn the outcome.
+            if now_s + service_load.latency_s >= ticket.deadline_s:
+                self._release(slot, None)
+                refusal = NotRun(Reason.TOO_LATE_TO_RUN, service_load.wait_s())
                 self._finish(ticket, refusal)
             else:
                 self._run(ticket, slot)
 
     def tick(self, now_s: float, peer_slots: PeerSlots) -> None:
-        """Drop what is late, return idle loans and serve who waits."""
+        """Expire late requests, return idle borrowed slots and serve the queues."""
         self.loans.peer_slots = peer_slots
-        for service, lines in self.lines.items():
-            for waiting in lines.queue.expired(now_s):
+        for service, service_load in self.service_load.items():
+            for waiting in service_load.queue.expired(now_s):
                 ticket = waiting.ticket
                 assert isinstance(ticket, Ticket)
-                self._waiting.pop(ticket.key, None)
-                # It never had a slot, so no worker has seen it.
+                self._queued_requests.pop(ticket.key, None)
+                # The request never got a slot, so it was not sent to any worker.
                 self._finish(ticket, NotRun(Reason.DEADLINE_PASSED))
-            self.pump(service, now_s)
+            self.serve_queue(service, now_s)
         self.loans.give_back_idle(now_s)
-        for call_id, ticket in list(self._forwards.items()):
+        for call_id, ticket in list(self._forwarded.items()):
             if now_s >= ticket.deadline_s:
-                del self._forwards[call_id]
+                del self._forwarded[call_id]
                 self._answer(ticket, Unknown(Reason.KEEPER_UNREACHABLE))
 
     def _forward(self, ticket: Ticket, key: RequestKey, now_s: float) -> None:
-        """Send a request to the one incarnation that may run its key."""
+        """Forward a request to the key's keeper, the only one that may run it."""
         if key.data_centre != self.context.settings.data_centre:
             self._answer(ticket, Unknown(Reason.KEEPER_UNREACHABLE))
             return
         if not self.context.membership.owner_is_live(key.keeper, now_s):
-            # The keeper may have run it before it went; nobody else may now.
+            # The keeper may have run the request before it was lost, so no other
+            # instance may run it.
             self._answer(ticket, Unknown(Reason.KEEPER_GONE))
             return
         call_id = f"{self.context.incarnation}/{next(self._numbers)}"
@@ -377,13 +399,13 @@
             self.traces.traceparent(ticket.traceparent),
         )
         if self.context.send(instance_of(key.keeper), message):
-            self._forwards[call_id] = ticket
+            self._forwarded[call_id] = ticket
             self.context.metrics.count("requests.forwarded")
         else:
             self._answer(ticket, Unknown(Reason.KEEPER_UNREACHABLE))
 
     def on_forward(self, sender: str, message: ForwardRequest, now_s: float) -> None:
-        """Serve a request whose key we keep, for a peer's caller."""
+        """Handle a request forwarded by a peer; this instance is the key's keeper."""
         done: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
         span = self.traces.begin("entry.forward", message.traceparent)
         ticket = Ticket(
@@ -398,24 +420,24 @@
         )
         peer = instance_of(sender)
 
-        def _send_back(future: asyncio.Future[Outcome]) -> None:
+        def _send_answer(future: asyncio.Future[Outcome]) -> None:
             if span is not None:
                 span.end()
             if not future.cancelled():
                 answer = wire_outcome(message.call_id, future.result())
                 self.context.send(peer, answer)
 
-        done.add_done_callback(_send_back)
+        done.add_done_callback(_send_answer)
         self.submit(ticket, now_s)
 
     def on_forward_answer(self, message: ForwardAnswer) -> None:
-        """Hand a keeper's outcome to the caller that waits for it."""
-        ticket = self._forwards.pop(message.call_id, None)
+        """Return the outcome that a keeper sent for a forwarded request."""
+        ticket = self._forwarded.pop(message.call_id, None)
         if ticket is not None:
             self._answer(ticket, outcome_of(message))
 
     def _finish(self, ticket: Ticket, outcome: Outcome) -> None:
-        """Record a claimed key's outcome and tell everybody who waits for it."""
+        """Record a claimed key's outcome and return it to all waiting callers."""
         self._running.pop(ticket.key, None)
         match parse_key(ticket.key):
             case Ok(key):
@@ -428,18 +450,18 @@
         self._answer(ticket, outcome)
 
     def _answer(self, ticket: Ticket, outcome: Outcome) -> None:
-        name = _name_of(outcome)
-        self.counts[name] = self.counts.get(name, 0) + 1
+        name = _outcome_name(outcome)
+        self.outcome_counts[name] = self.outcome_counts.get(name, 0) + 1
         self.context.metrics.count(f"requests.{name}")
         if not ticket.done.done():
             ticket.done.set_result(outcome)
 
     def busy(self) -> int:
-        """Return how many requests have no outcome yet."""
-        return len(self._running) + len(self._forwards)
+        """Return the number of requests without an outcome."""
+        return len(self._running) + len(self._forwarded)
 
 
-def _name_of(outcome: Outcome) -> str:
+def _outcome_name(outcome: Outcome) -> str:
     match outcome:
         case Done():
             return "done"
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/fleet.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/fleet.py
@@ -1,4 +1,4 @@
-"""Decide for this instance's share of the workers of its data centre."""
+"""Control this instance's share of the workers of its data centre."""
 
 from collections.abc import Container, Iterable
 
@@ -24,10 +24,14 @@
 
 
 class Fleet:
-    """The deciders of the workers that this instance decides for."""
+    """
+    The listed workers, with a decider for each.
+
+    The instance controls those workers whose deciders hold an epoch.
+    """
 
     def __init__(self, context: Context, slots: SlotPool) -> None:
-        """Start without workers; the instance list brings them."""
+        """Start without workers; ``set_workers`` adds them from the instance list."""
         self.context = context
         self.slots = slots
         self.deciders: dict[str, Decider] = {}
@@ -35,16 +39,16 @@
         self._summaries: dict[str, WorkerSummary] = {}
         self._changed: set[str] = set()
         self._released: set[str] = set()
-        # Workers with slot groups that wait for batch attempts to leave.
-        self._making_room: set[str] = set()
-        self._turn = 0
+        # Workers whose slot groups stay closed until batch attempts have ended.
+        self._awaiting_capacity: set[str] = set()
+        self._rotation_index = 0
 
     def set_workers(self, workers: Iterable[Worker]) -> None:
         """
-        Take in the instance list.
+        Apply the instance list.
 
-        A worker that the list no longer names keeps its decider while that
-        holds it: the list lags and may be wrong.
+        The decider of an unlisted worker is kept while it controls the worker,
+        because the list lags and may be wrong.
         """
         context = self.context
         listed = {worker.worker_id: worker for worker in workers}
@@ -72,29 +76,29 @@
         )
 
     def held(self) -> list[Decider]:
-        """Return the deciders whose workers honour our epoch."""
+        """Return the deciders that control their workers with a valid epoch."""
         return [d for d in self.deciders.values() if d.holding]
 
     def tick(self, now_s: float) -> list[Notice]:
-        """Claim what is ours, renew what is held, evict what must leave."""
+        """Claim workers, renew leases and evict attempts, each where it is due."""
         live = self.context.membership.live(now_s)
         notices: list[Notice] = []
         for worker_id, decider in list(self.deciders.items()):
             chosen = self.context.membership.choose(worker_id, live)
             ours = chosen == self.context.settings.instance_id
             if ours and self._may_claim(now_s):
-                notices.extend(self._do(decider, decider.claim_if_due(now_s)))
-            notices.extend(self._do(decider, decider.tick(now_s)))
+                notices.extend(self._send_calls(decider, decider.claim_if_due(now_s)))
+            notices.extend(self._send_calls(decider, decider.tick(now_s)))
             if decider.holding:
                 notices.extend(self._evict(decider, now_s))
-                if worker_id in self._making_room:
-                    self.open_lanes(decider, claimed=False)
+                if worker_id in self._awaiting_capacity:
+                    self.update_slot_groups(decider, claimed=False)
         return notices
 
     def _may_claim(self, now_s: float) -> bool:
-        # Guards against claims by an instance that has just started and thinks
-        # itself alone: each would take every worker from its decider for a
-        # moment, and requests on their way would be refused.
+        # Guards against claims by a newly started instance that hasn't heard its
+        # peers yet: it would briefly take every worker from its decider, and the
+        # workers would refuse requests in transit.
         context = self.context
         if context.leaving:
             return False
@@ -104,17 +108,19 @@
         return now_s >= context.started_s + context.timing.suspect_after_s
 
     def _evict(self, decider: Decider, now_s: float) -> list[Notice]:
-        drained = not self.context.keeps_work(decider.worker)
+        drained = not self.context.may_keep_attempts(decider.worker)
         if not drained and not decider.allocation_table.is_overcommitted():
             return []
         notices: list[Notice] = []
         for attempt in decider.evictions(drained, now_s):
             self._event(f"Evict {attempt} from {decider.worker.worker_id}.")
-            notices.extend(self._do(decider, decider.stop(attempt, checkpoint=True)))
+            notices.extend(
+                self._send_calls(decider, decider.stop(attempt, checkpoint=True))
+            )
         return notices
 
     def start(self, order: TaskOrder, worker_id: str, now_s: float) -> list[Notice]:
-        """Start an attempt, or say that it never started."""
+        """Start an attempt, or return the notice that it never started."""
         decider = self.deciders.get(worker_id)
         if decider is None:
             return [never_started(order, worker_id)]
@@ -125,38 +131,38 @@
                 return [never_started(order, worker_id)]
             case Step() as step:
                 self._changed.add(worker_id)
-                return self._do(decider, step)
+                return self._send_calls(decider, step)
 
     def cancel(self, attempt: AttemptId, worker_id: str) -> list[Notice]:
-        """Stop an attempt for good."""
+        """Stop an attempt permanently, without a checkpoint."""
         decider = self.deciders.get(worker_id)
         if decider is None:
             return []
-        return self._do(decider, decider.stop(attempt, checkpoint=False))
+        return self._send_calls(decider, decider.stop(attempt, checkpoint=False))
 
     def on_answer(self, mail: WorkerMail, now_s: float) -> list[Notice]:
-        """Take a worker's answer."""
+        """Handle a worker's answer to a decider's call."""
         decider = self.deciders.get(mail.worker_id)
         if decider is None:
             return []
         held = decider.epoch
-        step = _apply(decider, mail, now_s)
-        notices = self._do(decider, step)
+        step = _apply_answer(decider, mail, now_s)
+        notices = self._send_calls(decider, step)
         if decider.epoch != held:
             self._epoch_changed(decider, mail)
         if isinstance(mail.call, RenewLeases | ClaimWorker) and decider.holding:
-            self._read_slots(decider)
+            self._apply_reported_slots(decider)
         self._changed.add(mail.worker_id)
         return notices
 
     def fenced(self, worker_id: str, answer: Fenced, now_s: float) -> None:
-        """Take a worker's refusal of a request that carried our epoch."""
+        """Handle a worker's refusal of a request because our epoch is superseded."""
         decider = self.deciders.get(worker_id)
         if decider is None or not decider.holding:
             return
         decider.on_fenced(answer, now_s)
         if not decider.holding:
-            self._gave_up(worker_id, answer.decider)
+            self._on_control_lost(worker_id, answer.decider)
 
     def _epoch_changed(self, decider: Decider, mail: WorkerMail) -> None:
         worker_id = decider.worker.worker_id
@@ -165,75 +171,83 @@
             self._released.discard(worker_id)
             self._event(f"Decide for {worker_id} at epoch {decider.epoch}.")
             self.context.metrics.count("fleet.claims")
-            self.open_lanes(decider, claimed=True)
+            self.update_slot_groups(decider, claimed=True)
             return
         by = mail.answer.decider if isinstance(mail.answer, Fenced) else "nobody"
-        self._gave_up(worker_id, by)
+        self._on_control_lost(worker_id, by)
 
-    def _gave_up(self, worker_id: str, by: str) -> None:
+    def _on_control_lost(self, worker_id: str, by: str) -> None:
         self.slots.drop_worker(worker_id)
         self._released.add(worker_id)
         self._event(f"Gave up {worker_id} to {by}.")
         self.context.metrics.count("fleet.fenced")
 
-    def _read_slots(self, decider: Decider) -> None:
+    def _apply_reported_slots(self, decider: Decider) -> None:
         worker_id = decider.worker.worker_id
-        for lane in self.slots.slot_groups_of(worker_id):
-            in_flight = decider.slots_reported.get(lane.service, 0)
-            lane.reported(in_flight, decider.report_requested_s)
-        if decider.allocation_table.blocked or self._has_leaving_lane(worker_id):
-            self.open_lanes(decider, claimed=False)
-
-    def _has_leaving_lane(self, worker_id: str) -> bool:
-        return any(lane.total == 0 for lane in self.slots.slot_groups_of(worker_id))
+        for slot_group in self.slots.slot_groups_of(worker_id):
+            in_flight = decider.slots_reported.get(slot_group.service, 0)
+            slot_group.reported(in_flight, decider.report_requested_s)
+        if decider.allocation_table.blocked or self._has_closing_slot_group(worker_id):
+            self.update_slot_groups(decider, claimed=False)
+
+    def _has_closing_slot_group(self, worker_id: str) -> bool:
+        return any(
+            slot_group.total == 0 for slot_group in self.slots.slot_groups_of(worker_id)
+        )
 
     def configure(self) -> None:
-        """Follow a change of the configuration or the instance list."""
+        """Apply a change of the configuration or the instance list."""
         for decider in self.held():
-            self.open_lanes(decider, claimed=False)
+            self.update_slot_groups(decider, claimed=False)
 
-    def open_lanes(self, decider: Decider, claimed: bool) -> None:
-        """Make a worker's slot groups and reservations match the configuration."""
+    def update_slot_groups(self, decider: Decider, claimed: bool) -> None:
+        """
+        Make a worker's slot groups and reservations match the configuration.
+
+        ``claimed`` tells that the worker was claimed just now.
+        """
         worker_id = decider.worker.worker_id
         usable = self.context.usable(decider.worker)
         services = self.context.configuration.services_on(worker_id)
         wanted = {service.service: service for service in services}
         for name, service in wanted.items():
-            lane = self._lane(decider, name, claimed)
-            lane.resize(service.slots_per_worker, resources_of(service.needs))
-        decider.allocation_table.blocked = self._block_unknown(decider, wanted, claimed)
+            slot_group = self._slot_group(decider, name, claimed)
+            slot_group.resize(service.slots_per_worker, resources_of(service.needs))
+        decider.allocation_table.blocked = self._track_removed_services(
+            decider, wanted, claimed
+        )
         reserved = NOTHING
-        for lane in self.slots.slot_groups_of(worker_id):
-            if lane.service not in wanted:
-                # Guards against room given twice when a service leaves a worker:
-                # its requests in flight hold it until the last one has ended.
-                lane.open = False
-                lane.total = 0
-                if lane.in_use() == 0:
-                    del self.slots.slot_groups[(worker_id, lane.service)]
+        for slot_group in self.slots.slot_groups_of(worker_id):
+            if slot_group.service not in wanted:
+                # Guards against allocating capacity twice when a service is removed
+                # from a worker: its requests in flight use it until they have ended.
+                slot_group.open = False
+                slot_group.total = 0
+                if slot_group.in_use() == 0:
+                    del self.slots.slot_groups[(worker_id, slot_group.service)]
                     continue
-            reserved = reserved + lane.held()
+            reserved = reserved + slot_group.held()
         decider.reserve(reserved)
-        self._open_what_fits(decider, wanted, usable)
+        self._open_slot_groups(decider, wanted, usable)
         self._changed.add(worker_id)
 
-    def _lane(self, decider: Decider, service: str, claimed: bool) -> SlotGroup:
+    def _slot_group(self, decider: Decider, service: str, claimed: bool) -> SlotGroup:
         worker_id = decider.worker.worker_id
-        lane = self.slots.slot_groups.get((worker_id, service))
-        if lane is None:
-            lane = SlotGroup(worker_id, service, 0, decider.epoch, open=False)
+        slot_group = self.slots.slot_groups.get((worker_id, service))
+        if slot_group is None:
+            slot_group = SlotGroup(worker_id, service, 0, decider.epoch, open=False)
             if claimed:
-                lane.unaccounted = decider.slots_reported.get(service, 0)
-            self.slots.slot_groups[(worker_id, service)] = lane
-        return lane
+                slot_group.unaccounted = decider.slots_reported.get(service, 0)
+            self.slots.slot_groups[(worker_id, service)] = slot_group
+        return slot_group
 
-    def _block_unknown(
+    def _track_removed_services(
         self, decider: Decider, wanted: Container[str], claimed: bool
     ) -> bool:
         """
-        Take in requests in flight of services that are placed here no more.
+        Account for requests in flight of services not placed on the worker.
 
-        Return whether some are of a service whose size is not known any more.
+        Return whether the resource needs of some of these services are unknown.
         """
         unknown = False
         for service, in_flight in decider.slots_reported.items():
@@ -241,35 +255,35 @@
                 continue
             known = self.context.configuration.services.get(service)
             if known is not None and claimed:
-                lane = self._lane(decider, service, claimed)
-                lane.resize(0, resources_of(known.needs))
-            lane_key = (decider.worker.worker_id, service)
-            unknown = unknown or lane_key not in self.slots.slot_groups
+                slot_group = self._slot_group(decider, service, claimed)
+                slot_group.resize(0, resources_of(known.needs))
+            slot_group_key = (decider.worker.worker_id, service)
+            unknown = unknown or slot_group_key not in self.slots.slot_groups
         return unknown
 
-    def _open_what_fits(
+    def _open_slot_groups(
         self, decider: Decider, wanted: Iterable[str], usable: bool
     ) -> None:
-        # Guards against a worker overrun by a new service: its slots open only
-        # once the batch attempts in its room are known to be over.
+        # Guards against a worker overloaded by a new service: its slots open only
+        # after the batch attempts that use their capacity are known to have ended.
         fits = (
             not decider.allocation_table.is_overcommitted()
             and not decider.allocation_table.blocked
         )
-        # Guards against a worker that shrank below its slots and is overrun by them:
-        # no attempt can make room there, so they close until the room is back.
+        # Guards against a worker overloaded by slots that exceed its reduced capacity:
+        # evicting attempts can't help there, so the slots close until it is restored.
         slots_fit = decider.allocation_table.reserved.fits_in(
             decider.allocation_table.capacity
         )
         for name in wanted:
-            lane = self.slots.slot_groups[(decider.worker.worker_id, name)]
-            lane.open = usable and slots_fit and (lane.open or fits)
+            slot_group = self.slots.slot_groups[(decider.worker.worker_id, name)]
+            slot_group.open = usable and slots_fit and (slot_group.open or fits)
         if usable and not fits:
-            self._making_room.add(decider.worker.worker_id)
+            self._awaiting_capacity.add(decider.worker.worker_id)
         else:
-            self._making_room.discard(decider.worker.worker_id)
+            self._awaiting_capacity.discard(decider.worker.worker_id)
 
-    def _do(self, decider: Decider, step: Step) -> list[Notice]:
+    def _send_calls(self, decider: Decider, step: Step) -> list[Notice]:
         for call in step.calls:
             port = self.ports[decider.worker.worker_id]
             self.context.spawn(self._call(decider.worker.worker_id, port, call))
@@ -281,10 +295,10 @@
         port: WorkerPort,
         call: ClaimWorker | StartAttempt | StopAttempt | RenewLeases,
     ) -> None:
-        answer = await self._ask(port, call)
+        answer = await self._send_call(port, call)
         self.context.post(WorkerMail(worker_id, call, answer))
 
-    async def _ask(
+    async def _send_call(
         self,
         port: WorkerPort,
         call: ClaimWorker | StartAttempt | StopAttempt | RenewLeases,
@@ -299,17 +313,18 @@
             case RenewLeases():
                 return await port.renew(call)
 
-    def summaries(self, everything: bool) -> tuple[WorkerSummary, ...]:
+    def summaries(self, full: bool) -> tuple[WorkerSummary, ...]:
         """
-        Return what changed since the last call, and one more worker in turn.
+        Return the summaries of the workers that changed since the last call.
 
-        A summary that a peer lost comes again when its turn does.
+        One more worker is added in rotation, so that a lost summary is sent again
+        eventually. With ``full``, all controlled workers are included.
         """
         held = self.held()
-        chosen = {d.worker.worker_id for d in held} if everything else self._changed
-        if held and not everything:
-            self._turn = (self._turn + 1) % len(held)
-            chosen = chosen | {held[self._turn].worker.worker_id}
+        chosen = {d.worker.worker_id for d in held} if full else self._changed
+        if held and not full:
+            self._rotation_index = (self._rotation_index + 1) % len(held)
+            chosen = chosen | {held[self._rotation_index].worker.worker_id}
         self._changed = set()
         summaries = []
         for worker_id in sorted(chosen):
@@ -321,13 +336,15 @@
     def _summary(self, decider: Decider) -> WorkerSummary:
         worker_id = decider.worker.worker_id
         slot_groups = self.slots.slot_groups_of(worker_id)
-        free_slots = {lane.service: lane.free() for lane in slot_groups}
+        free_slots = {
+            slot_group.service: slot_group.free() for slot_group in slot_groups
+        }
         usable = self.context.usable(decider.worker)
         room = wire_needs(decider.allocation_table.batch_room())
         return WorkerSummary(worker_id, decider.epoch, room, usable, free_slots)
 
     def take_released(self) -> tuple[str, ...]:
-        """Return the workers given up since the last call."""
+        """Return the workers whose control was lost since the last call."""
         released = tuple(sorted(self._released))
         self._released.clear()
         return released
@@ -339,11 +356,11 @@
 
 
 def never_started(order: TaskOrder, worker_id: str) -> AttemptEnded:
-    """Return the notice that an order was turned down."""
+    """Return the notice that an order was refused and the attempt never started."""
     return AttemptEnded(order, worker_id, Ending.NEVER_STARTED, order.generation, 0.0)
 
 
-def _apply(decider: Decider, mail: WorkerMail, now_s: float) -> Step:
+def _apply_answer(decider: Decider, mail: WorkerMail, now_s: float) -> Step:
     answer = mail.answer
     match mail.call:
         case ClaimWorker():
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/instance.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/instance.py
@@ -1,4 +1,4 @@
-"""Put one entry instance together, start it, drain it and stop it."""
+"""Assemble, start, drain and stop one entry instance."""
 
 import asyncio
 import random
@@ -36,25 +36,25 @@
 from .streams import StreamLink
 from .telemetry import Metrics, Traces
 
-TICK_S = 0.1
+TICK_INTERVAL_S = 0.1
 
 log = structlog.get_logger()
 
 
 @dataclass(frozen=True, slots=True)
 class Ports:
-    """How an instance reaches the platform; tests put their own here."""
+    """The platform ports of an instance; tests substitute their own."""
 
     log: LogPort
     instances: ListPort
     worker: Callable[[Worker], WorkerPort]
     peers: Callable[[str, Receiver], PeerPort]
-    # Control traffic towards the platform, where a port counts it.
+    # Counters of control traffic to the platform, if the ports maintain them.
     traffic: HttpTraffic = field(default_factory=HttpTraffic)
 
 
 def http_ports(settings: Settings) -> Ports:
-    """Return the ports that speak HTTP, as the settings say."""
+    """Return the HTTP ports for the addresses in the settings."""
     timing, limits = settings.timing.timing(), settings.limits.limits()
     traffic = HttpTraffic()
     return Ports(
@@ -72,7 +72,7 @@
 
 
 def http_limits(limits: Limits) -> HttpLimits:
-    """Return a listener's share of the limits."""
+    """Return the limits that apply to an HTTP listener."""
     return HttpLimits(
         header_bytes=limits.header_bytes,
         body_bytes=limits.body_bytes,
@@ -85,15 +85,15 @@
 
 @dataclass(slots=True)
 class Addresses:
-    """Where the listeners really are, once they listen."""
+    """The addresses that the listeners are bound to."""
 
     callers: Address
     operators: Address
 
 
 @dataclass(slots=True)
-class Abandoned:
-    """What a stop cut off: work still going on when the time was up."""
+class AbandonedWork:
+    """What was still in progress when the drain timed out, and was aborted."""
 
     requests: int = 0
     connections: int = 0
@@ -101,7 +101,7 @@
 
 @dataclass(slots=True)
 class _Tasks:
-    long: list[asyncio.Task[None]] = field(default_factory=list)
+    permanent: list[asyncio.Task[None]] = field(default_factory=list)
     calls: set[asyncio.Task[None]] = field(default_factory=set)
 
 
@@ -116,9 +116,9 @@
         incarnation: str = "",
     ) -> None:
         """
-        Build all parts; nothing listens yet.
+        Create all components, without listening yet.
 
-        With a seed and an incarnation given, all choices are repeatable.
+        With a seed and an incarnation given, all random choices are reproducible.
         """
         self.settings = settings
         self.ports = ports or http_ports(settings)
@@ -194,7 +194,7 @@
             log.error("instance: Call failed.", error=repr(task.exception()))
 
     def traffic(self) -> dict[str, int]:
-        """Return messages and bytes of control since the start, both ways."""
+        """Return control messages and bytes, sent and received since the start."""
         platform = self.ports.traffic
         return {
             **asdict(self.peers.traffic),
@@ -215,12 +215,12 @@
         return self.addresses
 
     def start_tasks(self) -> None:
-        """Start all tasks but the HTTP listeners."""
+        """Start all tasks except the HTTP listeners."""
         listen = self.settings.listen
         self.peers.listen(listen.peers.address())
         for peer in self.settings.peers:
             self.peers.dial(peer.instance_id, peer.address())
-        for work in (
+        for coroutine in (
             self.control.run(),
             self.config_link.follow(),
             self.config_link.write(),
@@ -229,12 +229,12 @@
             self._poll_list(),
             self._tick(),
         ):
-            self._tasks.long.append(asyncio.create_task(work))
+            self._tasks.permanent.append(asyncio.create_task(coroutine))
 
     async def _tick(self) -> None:
         while True:
             self.post(Tick())
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
 
     async def _poll_list(self) -> None:
         jitter = random.Random(self.rng.random())
@@ -243,12 +243,18 @@
                 case Ok(workers) if workers is not None:
                     self.post(ListMail(workers))
                 case Err(detail):
-                    log.warning("list: Read failed.", detail=detail)
+                    log.warning(
+                        "list: Reading the instance list failed.", detail=detail
+                    )
             interval_s = self.timing.list_poll_interval_s
             await asyncio.sleep(interval_s * jitter.uniform(0.75, 1.25))
 
-    async def drain(self) -> Abandoned:
-        """Take nothing new, let what is in flight end, hand over, then stop."""
+    async def drain(self) -> AbandonedWork:
+        """
+        Stop accepting work, hand over jobs, await requests in flight, then stop.
+
+        What hasn't ended by the drain time-out is aborted and returned as counts.
+        """
         log.info("instance: Draining.", incarnation=self.incarnation)
         loop = asyncio.get_running_loop()
         deadline_s = loop.time() + self.timing.drain_timeout_s
@@ -257,22 +263,22 @@
         await done
         connections = await self.callers.drain(self.timing.drain_timeout_s)
         while loop.time() < deadline_s and self._unfinished():
-            await asyncio.sleep(TICK_S)
-        abandoned = Abandoned(self.control.desk.busy(), connections)
+            await asyncio.sleep(TICK_INTERVAL_S)
+        abandoned = AbandonedWork(self.control.dispatcher.busy(), connections)
         await self.stop()
         return abandoned
 
     def _unfinished(self) -> bool:
-        return self.control.desk.busy() > 0 or self.control.jobs.handing_over()
+        return self.control.dispatcher.busy() > 0 or self.control.jobs.handing_over()
 
     async def stop(self) -> None:
-        """Stop at once; what is in flight is cut off."""
-        for task in [*self._tasks.long, *self._tasks.calls]:
+        """Stop at once and abort requests in flight."""
+        for task in [*self._tasks.permanent, *self._tasks.calls]:
             task.cancel()
         await self.callers.close()
         await self.operators.close()
         await asyncio.gather(
-            *self._tasks.long, *self._tasks.calls, return_exceptions=True
+            *self._tasks.permanent, *self._tasks.calls, return_exceptions=True
         )
         self.peers.close()
         for port in self.control.fleet.ports.values():
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/jobkeeper.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/job_manager.py
@@ -1,4 +1,4 @@
-"""Keep this instance's jobs going, and take over those of a lost one."""
+"""Run the jobs that this instance owns, and take over those of lost instances."""
 
 import asyncio
 import itertools
@@ -47,52 +47,59 @@
 from .mail import CancelMail, JobAnswer, JobMail, StreamMail
 from .streams import StreamLink
 
-TASKS_PER_RECORD = 500
+TASKS_PER_RECORD_MAX = 500
 
 log = structlog.get_logger()
 
 
-class JobKeeper:
-    """The owner's side of one instance: jobs, authority, succession."""
+class JobManager:
+    """The job owner of one instance, with its authority and successions."""
 
     def __init__(
         self,
         context: Context,
-        rooms: CapacityView,
+        capacity_view: CapacityView,
         link: StreamLink,
-        run_here: Callable[[Command], None],
+        run_locally: Callable[[Command], None],
     ) -> None:
-        """Start without jobs; ``run_here`` takes commands for own deciders."""
+        """
+        Start without jobs.
+
+        ``run_locally`` executes commands for workers that this instance controls.
+        """
         self.context = context
-        self.rooms = rooms
+        self.capacity_view = capacity_view
         self.link = link
-        self.run_here = run_here
+        self.run_locally = run_locally
         self.name = owner_name(context.incarnation, 0)
         self.table = JobTable(self.name, context.owners)
         self.authority = Authority(context.timing)
         self.owner = self._new_owner()
-        self._lives = 0
+        self._owner_number = 0
         self.caught_up = False
         self._numbers = itertools.count(1)
-        self._waiting: dict[str, list[asyncio.Future[JobAnswer]]] = {}
+        self._waiters: dict[str, list[asyncio.Future[JobAnswer]]] = {}
         self._ended: dict[str, TaskEnd] = {}
         self._advanced: dict[str, tuple[int, int]] = {}
         self._setbacks: dict[str, Setbacks] = {}
-        # Owners that we tried to succeed; the append may still take effect.
-        self.attempted: set[str] = set()
+        # Owners whose succession was appended and not yet read back; the append may
+        # still take effect.
+        self.attempted_successions: set[str] = set()
 
     def _new_owner(self) -> Owner:
         context = self.context
-        return Owner(self.name, context.timing, context.limits, self.table, self.rooms)
+        return Owner(
+            self.name, context.timing, context.limits, self.table, self.capacity_view
+        )
 
-    def _begin_anew(self) -> None:
+    def _restart_as_new_owner(self) -> None:
         """
-        Own jobs under a new name, after a peer has taken over the old ones.
+        Continue under a new owner name after a peer has taken over the jobs.
 
-        What the old name had started is the successor's to settle.
+        The successor handles the attempts that the old owner started.
         """
-        self._lives += 1
-        self.name = owner_name(self.context.incarnation, self._lives)
+        self._owner_number += 1
+        self.name = owner_name(self.context.incarnation, self._owner_number)
         self.table.owner = self.name
         self.authority = Authority(self.context.timing)
         evictions = self.owner.evictions
@@ -107,7 +114,7 @@
         return f"{self.context.incarnation}/{next(self._numbers)}"
 
     def submit(self, mail: JobMail) -> None:
-        """Accept a job once it is durable, or refuse it at once."""
+        """Append a job, which is accepted when it is durable, or refuse it at once."""
         spec = mail.spec
         known = self.table.jobs.get(spec.job_id) or self.table.finished.get(spec.job_id)
         if known is not None:
@@ -118,9 +125,9 @@
             mail.done.set_result(JobAnswer(False, refusal))
             return
         record = JobAccepted(f"job/{spec.job_id}", spec, self.name)
-        self._waiting.setdefault(spec.job_id, []).append(mail.done)
+        self._waiters.setdefault(spec.job_id, []).append(mail.done)
         if not self.link.append(record):
-            self._forget(spec.job_id, JobAnswer(False, "log_unavailable"))
+            self._answer_waiters(spec.job_id, JobAnswer(False, "log_unavailable"))
 
     def _answer_known(self, known: Job | FinishedJob, mail: JobMail) -> None:
         if known.spec == mail.spec:
@@ -142,19 +149,19 @@
             case _:
                 return ""
 
-    def give_up(self, job_id: str) -> JobAnswer:
-        """Say what became of a submission whose caller waits no longer."""
+    def on_timeout(self, job_id: str) -> JobAnswer:
+        """Return the result of a submission whose caller's wait timed out."""
         if self.link.withdraw(f"job/{job_id}"):
             return JobAnswer(False, "log_unavailable")
         return JobAnswer(False, "unknown")
 
-    def _forget(self, job_id: str, answer: JobAnswer) -> None:
-        for done in self._waiting.pop(job_id, []):
+    def _answer_waiters(self, job_id: str, answer: JobAnswer) -> None:
+        for done in self._waiters.pop(job_id, []):
             if not done.done():
                 done.set_result(answer)
 
     def cancel(self, mail: CancelMail) -> None:
-        """Cancel a job: durable first, then its owner stops the tasks."""
+        """Cancel a job: its owner stops the tasks when the record is durable."""
         job = self.table.jobs.get(mail.job_id)
         if mail.job_id in self.table.finished:
             mail.done.set_result(JobAnswer(False, "already_over"))
@@ -166,7 +173,7 @@
         if job.cancelled:
             mail.done.set_result(JobAnswer(True, "already_cancelled"))
         elif self.link.append(record):
-            self._waiting.setdefault(f"cancel/{mail.job_id}", []).append(mail.done)
+            self._waiters.setdefault(f"cancel/{mail.job_id}", []).append(mail.done)
         else:
             mail.done.set_result(JobAnswer(False, "log_unavailable"))
 
@@ -175,28 +182,29 @@
         for offset, record in mail.records:
             adopted = self.table.apply(offset, record)
             self._adopt(adopted, record, now_s)
-            self._after(record, now_s)
+            self._on_applied(record, now_s)
         if self.name in self.context.owners.successors:
-            self._begin_anew()
+            self._restart_as_new_owner()
         if mail.reached_end:
             self.caught_up = True
             self.authority.log_was_clear(mail.asked_s)
             self.owner.log_read(mail.asked_s)
-            self._tell_again(mail, now_s)
+            self._append_snapshots(mail, now_s)
 
-    def _tell_again(self, mail: StreamMail, now_s: float) -> None:
+    def _append_snapshots(self, mail: StreamMail, now_s: float) -> None:
         """
-        Write live jobs anew before the records that tell of them expire.
+        Append snapshots of live jobs before their records expire.
 
-        Rendezvous hashing picks who writes; if two do, the second changes
-        nothing. Half of what the log keeps is left as time to do it in.
+        Rendezvous hashing selects the instance that appends; if two do, the second
+        snapshot changes nothing. A snapshot is due when the job's last full record
+        is in the older half of the log, which leaves time to append it.
         """
         if mail.oldest_offset == 0:
             return
         middle = (mail.oldest_offset + mail.next_offset) // 2
         live = self.context.membership.live(now_s)
         for job in self.table.due_for_snapshot(middle):
-            if self.context.membership.choose(job.spec.job_id, live) == self._me():
+            if self.context.membership.choose(job.spec.job_id, live) == self._own_id():
                 self.link.append(_snapshot_of(job))
 
     def _adopt(self, jobs: list[Job], record: HomeRecord, now_s: float) -> None:
@@ -206,14 +214,14 @@
             case Succession(dead_owner=dead_owner):
                 pass
             case JobAccepted(owner=owner) if owner != self.name:
-                # It was accepted by an owner that had been succeeded before.
+                # The owner that accepted the job had already been succeeded.
                 dead_owner = owner
             case _:
                 dead_owner = ""
-        workers = {*self.context.workers, *self.rooms.rooms}
+        workers = {*self.context.workers, *self.capacity_view.capacities}
         self.owner.adopted(jobs, dead_owner, workers, now_s)
 
-    def _after(self, record: HomeRecord, now_s: float) -> None:
+    def _on_applied(self, record: HomeRecord, now_s: float) -> None:
         match record:
             case JobAccepted():
                 job_id = record.spec.job_id
@@ -221,39 +229,44 @@
                 accepted = job.spec == record.spec
                 reason = "accepted" if accepted else "job_id_reused"
                 answer = JobAnswer(accepted, reason, job.owner)
-                self._forget(record.spec.job_id, answer)
+                self._answer_waiters(record.spec.job_id, answer)
             case TasksEnded():
-                self._do(self.owner.committed(record.ended))
+                self._apply_actions(self.owner.committed(record.ended))
             case TasksAdvanced():
-                self._do(self.owner.recorded(record.advanced))
+                self._apply_actions(self.owner.recorded(record.advanced))
             case JobCancelled():
-                self._forget(f"cancel/{record.job_id}", JobAnswer(True, "cancelled"))
+                self._answer_waiters(
+                    f"cancel/{record.job_id}", JobAnswer(True, "cancelled")
+                )
                 cancelled = self.table.jobs.get(record.job_id)
                 if cancelled is not None and cancelled.owner == self.name:
-                    self._do(self.owner.cancel(cancelled, now_s))
+                    self._apply_actions(self.owner.cancel(cancelled, now_s))
             case Succession():
-                # Read back, our own attempt is settled: in force, or void if we
-                # had been succeeded ourselves and may try under our new name.
+                # Our own succession is decided once it is read back: it is in force,
+                # or void if we had been succeeded ourselves; then we may try again
+                # under our new name.
                 if incarnation_of(record.successor) == self.context.incarnation:
-                    self.attempted.discard(record.dead_owner)
+                    self.attempted_successions.discard(record.dead_owner)
                 self._event(f"{record.successor} succeeds {record.dead_owner}.")
 
     def on_notice(self, notice: Notice, now_s: float) -> None:
-        """Take a decider's notice about one of our attempts."""
-        self._do(self.owner.on_notice(notice, now_s))
+        """Handle a decider's notice about one of our attempts."""
+        self._apply_actions(self.owner.on_notice(notice, now_s))
 
     def tick(self, now_s: float, quotas: dict[str, Resources]) -> None:
-        """Place tasks, settle doubts, record ends and look after lost owners."""
+        """Place tasks, settle attempts in doubt, record ends, succeed lost owners."""
         until_s = self.authority_until_s()
         self.context.owners.heard(self.name, until_s)
         if self.context.leaving:
             until_s = now_s
-        self._do(self.owner.tick(now_s, until_s, quotas, self.context.workers))
+        self._apply_actions(
+            self.owner.tick(now_s, until_s, quotas, self.context.workers)
+        )
         self._commit()
-        self._succeed_lost(now_s)
+        self._succeed_lost_owners(now_s)
 
     def busy(self) -> bool:
-        """Tell whether tasks wait to be placed or ends to be recorded."""
+        """Tell whether there are tasks to place or changes to record."""
         unrecorded = self._ended or self._advanced or self._setbacks
         return bool(unrecorded) or self.owner.has_queued()
 
@@ -263,25 +276,25 @@
         promises_s = [member.promised_until_s for member in members]
         return self.authority.until_s(promises_s, self.context.now_s())
 
-    def _do(self, work: OwnerActions) -> None:
-        self._ended.update(work.ended)
-        self._advanced.update(work.advanced)
-        self._setbacks.update(work.setbacks)
-        for command in work.commands:
-            self._command(command)
+    def _apply_actions(self, actions: OwnerActions) -> None:
+        self._ended.update(actions.ended)
+        self._advanced.update(actions.advanced)
+        self._setbacks.update(actions.setbacks)
+        for command in actions.commands:
+            self._send_command(command)
 
-    def _command(self, command: Command) -> None:
+    def _send_command(self, command: Command) -> None:
         worker_id = command.worker_id
-        room = self.rooms.rooms.get(worker_id)
+        room = self.capacity_view.capacities.get(worker_id)
         decider = room.decider if room is not None else ""
         if decider == self.context.settings.instance_id:
-            self.run_here(command)
+            self.run_locally(command)
             return
-        message = self._message(command, decider)
+        message = self._message_for(command, decider)
         if message is not None:
             self.context.send(decider, message)
 
-    def _message(self, command: Command, decider: str) -> Message | None:
+    def _message_for(self, command: Command, decider: str) -> Message | None:
         match command:
             case Place():
                 member = self.context.membership.members.get(decider)
@@ -300,16 +313,16 @@
                 return AskAttempt(wire_order(command.order), command.worker_id)
 
     def refused(self, message: PlaceRefused, now_s: float) -> None:
-        """Take a decider's word that an order was turned down."""
+        """Handle a decider's refusal of an order."""
         attempt = AttemptId.parse(message.attempt)
         room_coming = message.reason == Ending.ROOM_COMING.value
-        work = self.owner.refused(attempt, message.worker_id, now_s, room_coming)
-        self._do(work)
+        actions = self.owner.refused(attempt, message.worker_id, now_s, room_coming)
+        self._apply_actions(actions)
 
     def _commit(self) -> None:
-        """Record ends in groups: not one append for each task."""
+        """Append task ends in batches, to avoid one record for each task."""
         while self._ended:
-            ids = list(itertools.islice(self._ended, TASKS_PER_RECORD))
+            ids = list(itertools.islice(self._ended, TASKS_PER_RECORD_MAX))
             ended = {task_id: self._ended[task_id].value for task_id in ids}
             if not self.link.append(TasksEnded(self._record_id(), ended)):
                 return
@@ -323,48 +336,48 @@
                 self._advanced.clear()
                 self._setbacks.clear()
 
-    def _succeed_lost(self, now_s: float) -> None:
-        # An instance that has just started has had no time to hear its peers.
+    def _succeed_lost_owners(self, now_s: float) -> None:
+        # A newly started instance may not have received its peers' heartbeats yet.
         heard_s = self.context.started_s + self.context.timing.suspect_after_s
         if now_s < heard_s or self.context.leaving:
             return
         live = self.context.membership.live(now_s)
         for owner in self.table.foreign_owners():
-            if owner in self.attempted:
+            if owner in self.attempted_successions:
                 continue
             if self.context.membership.owner_is_live(owner, now_s):
                 continue
-            if self.context.membership.choose(owner, live) == self._me():
+            if self.context.membership.choose(owner, live) == self._own_id():
                 self._append_succession(owner, self.name)
 
     def _append_succession(self, dead_owner: str, successor: str) -> None:
         record = Succession(self._record_id(), dead_owner, successor)
         if self.link.append(record):
-            self.attempted.add(dead_owner)
+            self.attempted_successions.add(dead_owner)
             self._event(f"Try to succeed {dead_owner} by {successor}.")
 
-    def _me(self) -> str:
+    def _own_id(self) -> str:
         return self.context.settings.instance_id
 
-    def promises(self, owner: str) -> bool:
+    def may_promise(self, owner: str) -> bool:
         """
-        Tell whether an owner may go on for one authority span from now.
+        Tell whether we may promise an owner one more authority span from now.
 
-        A successor starts nothing until one span after its record has shown in
-        the log, so it need not hold the record back; it only must have stopped
-        promising before. The model in ``model/takeover.py`` shows both.
+        A successor starts nothing until one span after its record is read from the
+        log, so it needn't delay the record; it must only stop promising before it
+        appends the record. The model in ``model/takeover.py`` checks both.
         """
-        # Guards against a promise broken by an older append: one that was tried
-        # and not answered may still take effect.
-        if owner in self.attempted:
+        # Guards against a promise broken by an earlier append: an append that got no
+        # answer may still take effect.
+        if owner in self.attempted_successions:
             return False
-        # Nor may an owner be kept going that the log shows as succeeded: we may
-        # be its successor's successor, and are about to start its tasks.
+        # An owner that has a successor in the log gets no promise either: we may be
+        # its successor's successor and about to start its tasks.
         return owner not in self.context.owners.successors
 
     def hand_over(self, live: Iterable[str]) -> bool:
-        """Name a successor for our own jobs when leaving; False if none can be."""
-        others = tuple(name for name in live if name != self._me())
+        """Name a successor for our jobs when leaving; return False if there is none."""
+        others = tuple(name for name in live if name != self._own_id())
         if not others or not self.table.owned():
             return False
         chosen = self.context.membership.choose(self.name, others)
@@ -373,8 +386,8 @@
         return True
 
     def handing_over(self) -> bool:
-        """Tell whether a successor was named and the log does not show it yet."""
-        return self.name in self.attempted
+        """Tell whether our succession was appended and not yet read back."""
+        return self.name in self.attempted_successions
 
     def _event(self, text: str) -> None:
         now_s = self.context.now_s()
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/loans.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/loans.py
@@ -1,4 +1,4 @@
-"""Borrow slots from peers, lend them ours, and give them back."""
+"""Borrow slots from peers, lend them own slots, and return borrowed ones."""
 
 import itertools
 from collections.abc import Callable
@@ -9,48 +9,51 @@
 
 from .context import Context
 
-BORROW_MAX = 4
+SLOTS_PER_BORROW_MAX = 4
 
-# Free slots by peer, worker and service.
+# Number of free slots by peer, worker and service.
 PeerSlots = dict[str, dict[str, dict[str, int]]]
 
 
 class Loans:
-    """The slots that pass between this instance and its peers."""
+    """The slots that this instance borrows from its peers and lends to them."""
 
     def __init__(
-        self, context: Context, slots: SlotPool, pump: Callable[[str, float], None]
+        self,
+        context: Context,
+        slots: SlotPool,
+        serve_queue: Callable[[str, float], None],
     ) -> None:
-        """``pump`` runs the waiting requests of a service once slots came in."""
+        """``serve_queue`` runs a service's queued requests when slots become free."""
         self.context = context
         self.slots = slots
-        self.pump = pump
+        self.serve_queue = serve_queue
         self.peer_slots: PeerSlots = {}
-        self._borrowing: dict[tuple[str, str], str] = {}
+        self._pending_borrows: dict[tuple[str, str], str] = {}
         self._numbers = itertools.count(1)
 
     def borrow(self, service: str, wanted: int) -> None:
-        """Ask the peer with the most free slots for some of them."""
-        best, most = "", 0
+        """Request slots from the peer that reports the most free ones."""
+        best_peer, most_free = "", 0
         for peer, workers in self.peer_slots.items():
-            if (peer, service) in self._borrowing:
+            if (peer, service) in self._pending_borrows:
                 continue
             free = sum(slots.get(service, 0) for slots in workers.values())
-            if free > most:
-                best, most = peer, free
-        if not best:
+            if free > most_free:
+                best_peer, most_free = peer, free
+        if not best_peer:
             return
         grant_id = f"{self.context.incarnation}/{next(self._numbers)}"
-        count = min(wanted, BORROW_MAX)
-        if self.context.send(best, BorrowSlots(grant_id, service, count)):
-            self._borrowing[(best, service)] = grant_id
+        count = min(wanted, SLOTS_PER_BORROW_MAX)
+        if self.context.send(best_peer, BorrowSlots(grant_id, service, count)):
+            self._pending_borrows[(best_peer, service)] = grant_id
 
     def forget_unanswered(self) -> None:
-        """Allow borrowing again where an answer was lost."""
-        self._borrowing.clear()
+        """Drop pending requests to borrow, as their answers may be lost."""
+        self._pending_borrows.clear()
 
     def on_borrow(self, sender: str, message: BorrowSlots, now_s: float) -> None:
-        """Lend slots, or say that there are none."""
+        """Lend slots to a peer, or answer that none are free."""
         peer = instance_of(sender)
         member = self.context.membership.members.get(peer)
         refusal = LendSlots(message.grant_id, message.service, "", 0, 0, 0.0)
@@ -64,21 +67,26 @@
         if lent is None:
             self.context.send(peer, refusal)
             return
-        lane, loan = lent
-        there_s = member.clock.remote_deadline_before(deadline_s)
+        slot_group, loan = lent
+        remote_deadline_s = member.clock.remote_deadline_before(deadline_s)
         lend = LendSlots(
-            loan.grant_id, lane.service, lane.worker_id, lane.epoch, loan.count, there_s
+            loan.grant_id,
+            slot_group.service,
+            slot_group.worker_id,
+            slot_group.epoch,
+            loan.count,
+            remote_deadline_s,
         )
         self.context.send(peer, lend)
 
     def on_lend(self, sender: str, message: LendSlots, now_s: float) -> None:
-        """Take borrowed slots and use them."""
+        """Handle a peer's answer: slots that it lends, or none."""
         peer = instance_of(sender)
-        self._borrowing.pop((peer, message.service), None)
+        self._pending_borrows.pop((peer, message.service), None)
         if message.count == 0:
             for slots in self.peer_slots.get(peer, {}).values():
                 slots.pop(message.service, None)
-            self.pump(message.service, now_s)
+            self.serve_queue(message.service, now_s)
             return
         self.slots.borrowed[message.grant_id] = BorrowedSlots(
             message.grant_id,
@@ -89,22 +97,22 @@
             message.count,
             message.deadline_s,
         )
-        self.pump(message.service, now_s)
+        self.serve_queue(message.service, now_s)
 
     def on_return(self, message: ReturnSlots, now_s: float) -> None:
-        """Take lent slots back."""
-        lane = self.slots.slot_groups.get((message.worker_id, message.service))
-        if lane is not None:
-            lane.give_back(message.grant_id, message.count)
-            self.pump(message.service, now_s)
+        """Handle the return of lent slots."""
+        slot_group = self.slots.slot_groups.get((message.worker_id, message.service))
+        if slot_group is not None:
+            slot_group.give_back(message.grant_id, message.count)
+            self.serve_queue(message.service, now_s)
 
     def give_back_idle(self, now_s: float) -> None:
-        """Return borrowed slots that are past their deadline and idle."""
+        """Return the borrowed slots that are past their deadline and not in use."""
         for returned in self.slots.give_back_idle(now_s):
             self.give_back(returned)
 
     def give_back(self, returned: SlotReturn) -> None:
-        """Tell a lender that its slots are free again."""
+        """Return borrowed slots to their lender."""
         message = ReturnSlots(
             returned.grant_id, returned.worker_id, returned.service, returned.count
         )
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/mail.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/mail.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerMail:
-    """A message of a peer."""
+    """A message from a peer."""
 
     sender: str
     message: Message
@@ -38,7 +38,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerMail:
-    """A worker's answer to a call of a decider."""
+    """A worker's answer to a decider's call."""
 
     worker_id: str
     call: Call
@@ -50,8 +50,8 @@
     """
     Records read from a stream, in order.
 
-    ``reached_end`` says that no record appended before ``asked_s`` is missing.
-    ``gap`` says that records before the first one have expired unread.
+    ``reached_end`` tells that all records appended before ``asked_s`` have been read.
+    ``gap`` tells that records before the first one expired before they were read.
     """
 
     stream: str
@@ -73,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ListMail:
-    """The workers that the instance list names for this data centre."""
+    """The workers of this data centre in the instance list."""
 
     workers: list[Worker]
 
@@ -92,7 +92,7 @@
     done: asyncio.Future[Outcome]
     key: str = ""
     runs: int = 0
-    # Workers that have barred the key; each would refuse it.
+    # Workers that have barred the key and would refuse the request.
     barred_on: set[str] = field(default_factory=set)
     waiters: list[asyncio.Future[Outcome]] = field(default_factory=list)
 
@@ -106,7 +106,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RunMail:
-    """How a run of a request on a worker ended."""
+    """The result of a run of a request on a worker."""
 
     ticket: Ticket
     slot: Slot
@@ -117,7 +117,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeysMail:
-    """A caller's wish for request keys."""
+    """A caller's request for request keys."""
 
     count: int
     deadline_s: float
@@ -126,7 +126,7 @@
 
 @dataclass(frozen=True, slots=True)
 class JobMail:
-    """A caller's job."""
+    """A job submitted by a caller or operator."""
 
     spec: JobSpec
     done: asyncio.Future["JobAnswer"]
@@ -134,7 +134,12 @@
 
 @dataclass(frozen=True, slots=True)
 class JobAnswer:
-    """What became of a job's submission: accepted, refused or not yet durable."""
+    """
+    The result of a job's submission or cancellation.
+
+    If ``accepted`` is false and ``reason`` is "unknown", the record may still become
+    durable later.
+    """
 
     accepted: bool
     reason: str
@@ -143,7 +148,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CancelMail:
-    """A caller's wish to cancel a job."""
+    """A caller's request to cancel a job."""
 
     job_id: str
     done: asyncio.Future["JobAnswer"]
@@ -151,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanMail:
-    """An operator's intent."""
+    """An operator's intent, to make a plan for."""
 
     intent: Intent
     done: asyncio.Future["PlanAnswer"]
@@ -168,7 +173,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PlanAnswer:
-    """A plan, or what is wrong with the intent."""
+    """A plan, or an error if none could be made."""
 
     plan: Plan | None
     error: str = ""
@@ -176,7 +181,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfirmAnswer:
-    """Whether a confirmed plan is in force, and why not."""
+    """Whether a confirmed plan was applied, and if not, why."""
 
     applied: bool
     reason: str = ""
@@ -185,12 +190,12 @@
 
 @dataclass(frozen=True, slots=True)
 class Tick:
-    """Time has passed."""
+    """The periodic signal to handle what is due."""
 
 
 @dataclass(frozen=True, slots=True)
 class LeaveMail:
-    """The instance is to leave: take nothing new and hand over."""
+    """The request to stop accepting work and hand over the jobs."""
 
     done: asyncio.Future[None]
 
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/main.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/main.py
@@ -1,4 +1,8 @@
-"""Be the binary ``hornbeampaddled``: run, check or show one instance's settings."""
+"""
+Define the command line of ``hornbeampaddled``.
+
+It runs an entry instance, or checks or shows its settings.
+"""
 
 import asyncio
 import json
@@ -13,7 +17,7 @@
 from result import Err, Ok
 
 from .instance import Instance
-from .settings import Settings, in_force, read_settings
+from .settings import Settings, effective_settings, read_settings
 from .telemetry import set_up_logs
 
 EXIT_BAD_SETTINGS = 2
@@ -35,26 +39,26 @@
 @cappa.command(name="check-settings", help="Check a settings file; print all errors.")
 @dataclass
 class CheckSettings:
-    """Check a settings file and print each error with its place."""
+    """Validates a settings file and prints each error with its location."""
 
     file: Annotated[Path, cappa.Arg(help="The settings file.")]
 
     def __call__(self) -> None:
-        """Exit with 0 if the file is good, with 2 if not."""
+        """Exit with 0 if the file is valid, otherwise with 2."""
         _read(self.file)
         print(f"{self.file}: no errors")
 
 
-@cappa.command(name="show-settings", help="Print the settings in force, as JSON.")
+@cappa.command(name="show-settings", help="Print the effective settings as JSON.")
 @dataclass
 class ShowSettings:
-    """Print what a settings file puts in force, defaults included."""
+    """Prints the effective settings of a settings file, with defaults."""
 
     file: Annotated[Path, cappa.Arg(help="The settings file.")]
 
     def __call__(self) -> None:
-        """Print JSON; secrets are masked."""
-        print(json.dumps(in_force(_read(self.file)), indent=2))
+        """Print the settings as JSON, with secrets masked."""
+        print(json.dumps(effective_settings(_read(self.file)), indent=2))
 
 
 @cappa.command(
@@ -63,7 +67,7 @@
 )
 @dataclass
 class Daemon:
-    """Run one entry instance until SIGTERM or SIGINT."""
+    """Runs one entry instance until SIGTERM or SIGINT."""
 
     settings: Annotated[
         Path | None, cappa.Arg(long="--settings", help="The settings file.")
@@ -71,7 +75,7 @@
     command: cappa.Subcommands[CheckSettings | ShowSettings | None] = None
 
     def __call__(self) -> None:
-        """Run the instance."""
+        """Run the instance; exit with 3 if requests were aborted."""
         if self.settings is None:
             print("hornbeampaddled: give --settings FILE, or --help", file=sys.stderr)
             raise cappa.Exit(code=EXIT_BAD_SETTINGS)
@@ -83,7 +87,11 @@
 
 
 async def _serve(settings: Settings) -> bool:
-    """Run until told to stop; return whether work was abandoned."""
+    """
+    Run until a signal, then drain; a second signal stops the instance at once.
+
+    Return whether requests were aborted.
+    """
     loop = asyncio.get_running_loop()
     signals: asyncio.Queue[signal.Signals] = asyncio.Queue()
     for number in (signal.SIGTERM, signal.SIGINT):
@@ -92,22 +100,22 @@
     await instance.start()
     await signals.get()
     draining = asyncio.create_task(instance.drain())
-    second = asyncio.create_task(signals.get())
-    await asyncio.wait({draining, second}, return_when=asyncio.FIRST_COMPLETED)
+    second_signal = asyncio.create_task(signals.get())
+    await asyncio.wait({draining, second_signal}, return_when=asyncio.FIRST_COMPLETED)
     if draining.done():
-        second.cancel()
+        second_signal.cancel()
         abandoned = draining.result()
         requests = abandoned.requests
     else:
-        requests = instance.control.desk.busy()
+        requests = instance.control.dispatcher.busy()
         draining.cancel()
         await asyncio.gather(draining, return_exceptions=True)
         await instance.stop()
     if requests:
-        log.warning("instance: Abandoned requests.", requests=requests)
+        log.warning("instance: Aborted requests in flight.", requests=requests)
     return requests > 0
 
 
 def main() -> None:
-    """Run the command line."""
+    """Run the command-line interface."""
     cappa.invoke(Daemon)
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/operators.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/operators.py
@@ -1,4 +1,4 @@
-"""Serve operators over HTTP: plans, confirmations and what is going on."""
+"""Serve operators over HTTP: plans, confirmations, state and events."""
 
 import asyncio
 import hmac
@@ -15,7 +15,7 @@
 from hornbeampaddle_wire.http_messages import Request, Response
 from hornbeampaddle_wire.http_server import error_response
 
-from .callers import JOBS_LISTED, list_jobs
+from .callers import JOBS_LISTED_MAX, list_jobs
 from .control import Control
 from .mail import ConfirmAnswer, ConfirmMail, Mail, PlanAnswer, PlanMail
 
@@ -36,7 +36,7 @@
 
 
 class OperatorApi:
-    """The operators' interface of one entry instance."""
+    """The HTTP API of one entry instance for operators."""
 
     def __init__(
         self,
@@ -44,18 +44,18 @@
         post: Callable[[Mail], None],
         traffic: Callable[[], dict[str, int]],
     ) -> None:
-        """Changes go to the control task; reads look at its state."""
+        """Answer reads from the control task's state, and post all else to the task."""
         self.traffic = traffic
         self.control = control
         self.context = control.context
         self.post = post
         token = self.context.settings.operator_token.get_secret_value()
-        self._expected = f"{BEARER}{token}".encode()
+        self._expected_authorization = f"{BEARER}{token}".encode()
 
     async def handle(self, request: Request) -> Response:
         """Answer one HTTP request, if it carries the operators' token."""
         given = request.headers.get("authorization", "").encode()
-        if not hmac.compare_digest(given, self._expected):
+        if not hmac.compare_digest(given, self._expected_authorization):
             detail = "set the operators' token, as in the instance's settings"
             return error_response(401, "unauthorized", detail)
         parts = urlsplit(request.path)
@@ -73,7 +73,7 @@
                 return _json(self._tasks())
             case ("GET", ["jobs"]):
                 table = self.control.jobs.table
-                return _json({"jobs": list_jobs(table, JOBS_LISTED)})
+                return _json({"jobs": list_jobs(table, JOBS_LISTED_MAX)})
             case ("GET", ["explain", task_id]):
                 return self._explain(task_id)
             case ("GET", ["config"]):
@@ -107,7 +107,7 @@
             async with asyncio.timeout(CONFIRM_TIMEOUT_S):
                 answer = await asyncio.shield(done)
         except TimeoutError:
-            answer = self.control.planner.give_up(plan.plan_id)
+            answer = self.control.planner.on_timeout(plan.plan_id)
         status = 200 if answer.applied else 409
         if answer.reason == "log_unavailable":
             status = 503
@@ -135,10 +135,10 @@
                 "repeat": service.repeat,
                 "workers": len(service.placement),
                 "free_slots": control.slots.free_of(name),
-                "waiting": len(lines.queue)
-                if (lines := control.desk.lines.get(name))
+                "waiting": len(service_load.queue)
+                if (service_load := control.dispatcher.service_load.get(name))
                 else 0,
-                "in_flight": lines.in_flight if lines else 0,
+                "in_flight": service_load.in_flight if service_load else 0,
             }
             for name, service in context.configuration.services.items()
         ]
@@ -158,19 +158,19 @@
             "evictions": control.jobs.owner.evictions,
             "traffic": self.traffic(),
             "appends": control.home_link.appends + control.config_link.appends,
-            "outcomes": dict(sorted(control.desk.counts.items())),
+            "outcomes": dict(sorted(control.dispatcher.outcome_counts.items())),
             "peers": members,
             "services": services,
         }
 
     def _workers(self) -> dict[str, object]:
         now_s = self.context.now_s()
-        sick = set(self.control.jobs.rooms.sick(now_s))
+        sick = set(self.control.jobs.capacity_view.sick(now_s))
         evacuations = self.context.configuration.evacuations
         rows = []
         for worker in self.context.workers.values():
             decider = self.control.fleet.deciders.get(worker.worker_id)
-            room = self.control.jobs.rooms.rooms.get(worker.worker_id)
+            room = self.control.jobs.capacity_view.capacities.get(worker.worker_id)
             held = decider is not None and decider.holding
             rows.append(
                 {
@@ -194,14 +194,14 @@
         now_s = self.context.now_s()
         rows = []
         for decider in self.control.fleet.held():
-            for hold in decider.inventory():
+            for allocation in decider.inventory():
                 rows.append(
                     {
-                        "attempt": str(hold.order.attempt),
+                        "attempt": str(allocation.order.attempt),
                         "worker_id": decider.worker.worker_id,
-                        "state": hold.state.value,
-                        "owner": hold.order.owner,
-                        "work_done_s": round(hold.work_done_s(now_s), 1),
+                        "state": allocation.state.value,
+                        "owner": allocation.order.owner,
+                        "work_done_s": round(allocation.work_done_s(now_s), 1),
                     }
                 )
         return {"tasks": rows}
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/ports.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/ports.py
@@ -1,8 +1,8 @@
 """
-Define the ports to the platform: worker, log service and instance list.
+Define the interfaces to the platform: worker, log service and instance list.
 
-Decisions know only these. An adapter for another platform implements them and
-must pass the contract tests in ``features/platform_contract.feature``.
+The control code depends only on these. An adapter for another platform implements
+them and must pass the contract tests in ``features/platform_contract.feature``.
 """
 
 from dataclasses import dataclass
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkerRequest:
-    """A request on its way to a worker; ``deadline_s`` is on the local clock."""
+    """A request to send to a worker; ``deadline_s`` is on the local clock."""
 
     key: str
     service: str
@@ -43,7 +43,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The worker's whole answer."""
+    """The worker's complete answer."""
 
     status: int
     content_type: str
@@ -52,7 +52,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerCutShort:
-    """The worker began to answer; the rest is lost."""
+    """The worker's answer began but is incomplete."""
 
     detail: str
 
@@ -61,12 +61,12 @@
 
 
 class WorkerPort(Protocol):
-    """One worker. No call raises for what the worker does."""
+    """One worker; calls return the worker's failures instead of raising them."""
 
     async def claim(
         self, call: ClaimWorker, decider: str
     ) -> WorkerReport | Refused | NoAnswer | NotSent:
-        """Ask for a new epoch."""
+        """Claim the worker, which issues a new epoch."""
 
     async def start(
         self, call: StartAttempt
@@ -81,21 +81,25 @@
     async def renew(
         self, call: RenewLeases
     ) -> WorkerReport | Refused | Fenced | NoAnswer | NotSent:
-        """Extend leases and get a report."""
+        """Renew leases and return the worker's report."""
 
     async def run(self, request: WorkerRequest) -> RequestAnswer:
-        """Run a request to its end."""
+        """Run a request and return its answer."""
 
     async def bar(self, key: str) -> bool:
-        """Bar a request for good; True only if it never ran and is not running."""
+        """
+        Make the worker refuse a request key from now on.
+
+        Return True only if the request never ran and isn't running.
+        """
 
     def close(self) -> None:
-        """Drop the connections."""
+        """Close the connections."""
 
 
 @dataclass(frozen=True, slots=True)
 class Page:
-    """Some records of a stream, from the offset that was asked for."""
+    """Consecutive records of a stream, from the requested offset on."""
 
     entries: tuple[tuple[int, bytes], ...]
     oldest_offset: int
@@ -112,32 +116,37 @@
     async def append(
         self, stream: str, records: tuple[bytes, ...]
     ) -> Result[int, NotSent | NoAnswer]:
-        """Append records; an error says whether they may have been appended."""
+        """
+        Append records and return the offset of the first.
+
+        The error ``NoAnswer`` means that they may have been appended, ``NotSent``
+        that they weren't.
+        """
 
     async def read(self, stream: str, from_offset: int) -> Result[Page, str]:
-        """Read records from an offset on."""
+        """Return records from ``from_offset`` on."""
 
 
 class PeerPort(Protocol):
-    """The way to the other entry instances of the data centre."""
+    """The connections to the other entry instances of the data centre."""
 
     traffic: PeerTraffic
 
     def listen(self, address: Address) -> None:
-        """Start to receive."""
+        """Listen for connections from peers."""
 
     def dial(self, instance_id: str, address: Address) -> None:
-        """Keep a connection to a peer."""
+        """Connect to a peer and keep the connection open."""
 
     def send(self, instance_id: str, message: Message) -> bool:
-        """Send now or not at all; tell whether it was handed over."""
+        """Send a message without waiting, or drop it; return whether it was sent."""
 
     def close(self) -> None:
         """Close all sockets at once."""
 
 
 class ListPort(Protocol):
-    """The instance list, which lags."""
+    """The instance list, which lags behind the actual workers."""
 
     async def workers(self, data_centre: str) -> Result[list[Worker] | None, str]:
         """Return the workers of a data centre, or None if nothing changed."""
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/settings.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/settings.py
@@ -1,9 +1,8 @@
 """
-Read and check the settings of one entry instance.
+Read and validate the settings of one entry instance.
 
-The JSON file is validated whole: every error is reported with its place, and a
-key that is not known is an error. What the file leaves out comes from
-``hornbeampaddle.defaults``.
+All errors in the JSON file are reported, each with its location; an unknown key is an
+error. Values that are not set default to those in ``hornbeampaddle.defaults``.
 """
 
 import json
@@ -31,14 +30,14 @@
 SECRET_CHARACTERS_MIN = 16
 
 
-class Strict(BaseModel):
-    """A model that refuses unknown keys and changed types."""
+class StrictModel(BaseModel):
+    """An immutable model that rejects unknown keys and doesn't convert types."""
 
     model_config = ConfigDict(extra="forbid", frozen=True, strict=True)
 
 
-class AddressSettings(Strict):
-    """An IP number and a port."""
+class AddressSettings(StrictModel):
+    """An IP address and a port."""
 
     host: str
     port: Port
@@ -49,11 +48,11 @@
         try:
             ip_address(host)
         except ValueError:
-            raise ValueError("must be an IP number, not a name") from None
+            raise ValueError("must be an IP address, not a host name") from None
         return host
 
     def address(self) -> Address:
-        """Return the inner form."""
+        """Return the address as the library represents it."""
         return Address(self.host, self.port)
 
 
@@ -63,7 +62,7 @@
     instance_id: Name
 
 
-class ListenSettings(Strict):
+class ListenSettings(StrictModel):
     """The three listeners of an entry instance."""
 
     callers: AddressSettings
@@ -71,15 +70,20 @@
     peers: AddressSettings
 
 
-class PlatformSettings(Strict):
-    """Where the platform's services are."""
+class PlatformSettings(StrictModel):
+    """The addresses of the platform's services."""
 
     log: AddressSettings
     instances: AddressSettings
 
 
-class TelemetrySettings(Strict):
-    """Where metrics, traces and logs go; an empty file name turns one off."""
+class TelemetrySettings(StrictModel):
+    """
+    Destinations of metrics, traces and logs.
+
+    Without ``statsd`` no metrics are sent, and with an empty ``traces_file`` no
+    traces are written. With an empty ``log_file`` logs go to standard error.
+    """
 
     statsd: AddressSettings | None = None
     traces_file: str = ""
@@ -88,7 +92,7 @@
     log_level: Annotated[str, Field(pattern="^(debug|info|warning|error)$")] = "info"
 
 
-class TimingSettings(Strict):
+class TimingSettings(StrictModel):
     """Overrides of ``hornbeampaddle.defaults.Timing``."""
 
     heartbeat_interval_s: float | None = Field(None, gt=0)
@@ -124,7 +128,7 @@
         return self
 
 
-class LimitSettings(Strict):
+class LimitSettings(StrictModel):
     """Overrides of ``hornbeampaddle.defaults.Limits``."""
 
     header_bytes: int | None = Field(None, ge=1024)
@@ -149,7 +153,7 @@
         return Limits(**self.model_dump(exclude_none=True))
 
 
-class Settings(Strict):
+class Settings(StrictModel):
     """All settings of one entry instance."""
 
     instance_id: Name
@@ -181,27 +185,27 @@
 
 
 def parse_settings(text: str) -> Result[Settings, list[str]]:
-    """Check settings in JSON; an error lists every fault with its place."""
+    """Validate settings in JSON, or return all errors, each with its location."""
     try:
-        json.loads(text, parse_constant=_refuse_constant)
+        json.loads(text, parse_constant=_reject_constant)
         return Ok(Settings.model_validate_json(text))
     except ValidationError as error:
-        return Err([_line(fault) for fault in error.errors()])
+        return Err([_error_line(fault) for fault in error.errors()])
     except ValueError as error:
         return Err([f"(file): {error}"])
 
 
-def _refuse_constant(name: str) -> None:
-    raise ValueError(f"{name} is not a number that JSON knows")
+def _reject_constant(name: str) -> None:
+    raise ValueError(f"{name} is not a valid JSON number")
 
 
-def _line(fault: Any) -> str:
+def _error_line(fault: Any) -> str:
     place = ".".join(str(part) for part in fault["loc"]) or "(file)"
     return f"{place}: {fault['msg']}"
 
 
 def read_settings(path: Path) -> Result[Settings, list[str]]:
-    """Read and check a settings file."""
+    """Read and validate a settings file."""
     try:
         text = path.read_text()
     except (OSError, UnicodeDecodeError) as error:
@@ -209,8 +213,8 @@
     return parse_settings(text)
 
 
-def in_force(settings: Settings) -> dict[str, Any]:
-    """Return all settings with defaults filled in and secrets masked."""
+def effective_settings(settings: Settings) -> dict[str, Any]:
+    """Return the settings with defaults applied and secrets masked."""
     shown = settings.model_dump(mode="json")
     timing, limits = settings.timing.timing(), settings.limits.limits()
     shown["timing"] = {f.name: getattr(timing, f.name) for f in fields(timing)}
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/streams.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/streams.py
@@ -1,9 +1,9 @@
 """
-Follow a stream of the log service and append to it, one task each.
+Read streams of the log service and append to them, in a task each.
 
-A record counts as durable when it has been read back, so an append whose
-answer was lost needs no case of its own: the next read shows whether it took
-effect, and only records that did not are appended again.
+A record counts as durable when it has been read back. An append whose answer was
+lost therefore needs no special handling: the next read shows which records were
+appended, and only the others are appended again.
 """
 
 import asyncio
@@ -31,7 +31,7 @@
 
 
 class StreamLink:
-    """One stream: where it has been read to, and what waits to be appended."""
+    """One stream, with its read position and the queue of records to append."""
 
     def __init__(
         self,
@@ -44,7 +44,7 @@
         unsent_max: int,
         rng: random.Random,
     ) -> None:
-        """Keep the port; ``post`` takes what is read."""
+        """Start at offset 0; ``post`` receives what is read."""
         self.stream = stream
         self.port = port
         self.post = post
@@ -57,7 +57,7 @@
         self._decoder = msgspec.msgpack.Decoder(record_type)
         self._unsent: dict[str, Record] = {}
         self._attempted: set[str] = set()
-        self._work = asyncio.Event()
+        self._has_unsent = asyncio.Event()
         self._poll_now = asyncio.Event()
         self._read_to_end_s = 0.0
         self._read_done = asyncio.Event()
@@ -70,28 +70,28 @@
         if len(self._unsent) >= self.unsent_max:
             return False
         self._unsent[record.record_id] = record
-        self._work.set()
+        self._has_unsent.set()
         return True
 
     def withdraw(self, record_id: str) -> bool:
-        """Take back a queued record; False if an append may have carried it."""
+        """Remove a queued record; return False if it may have been appended."""
         if record_id in self._attempted or record_id not in self._unsent:
             return False
         del self._unsent[record_id]
         return True
 
     def skip_to(self, offset: int) -> None:
-        """Go on reading after a state that came from elsewhere."""
+        """Skip records that are covered by a state from another source."""
         self.next_offset = max(self.next_offset, offset)
 
     async def follow(self) -> None:
-        """Read the stream for ever."""
+        """Read the stream until cancelled."""
         while True:
             asked_s = asyncio.get_running_loop().time()
             answer = await self.port.read(self.stream, self.next_offset)
             match answer:
                 case Ok(page):
-                    more = self._take(page, asked_s)
+                    more = self._process_page(page, asked_s)
                     if more:
                         continue
                 case Err(detail):
@@ -100,8 +100,8 @@
             await self._pause()
 
     async def _pause(self) -> None:
-        # Jitter keeps the instances of all data centres from asking at once,
-        # above all when the log service returns from an outage.
+        # Jitter prevents the instances of all data centres from reading at the same
+        # time, in particular when the log service recovers from an outage.
         interval_s = self.poll_interval_s * self._rng.uniform(0.75, 1.25)
         try:
             async with asyncio.timeout(interval_s):
@@ -110,8 +110,8 @@
             pass
         self._poll_now.clear()
 
-    def _take(self, page: Page, asked_s: float) -> bool:
-        """Hand on a page; return whether there is more to read at once."""
+    def _process_page(self, page: Page, asked_s: float) -> bool:
+        """Post a page's records; return whether there are more to read now."""
         self.reachable = True
         gap = page.oldest_offset > self.next_offset and page.oldest_offset > 0
         records = []
@@ -146,10 +146,10 @@
         try:
             return self._decoder.decode(data)
         except ValueError as error:
-            # A record of a later version, or of somebody else: all instances
-            # skip it alike, so they still agree.
+            # The record has a later format or a foreign writer. All instances skip
+            # it, so their states stay consistent.
             log.warning(
-                "log: Record skipped.",
+                "log: Skipped a record that could not be decoded.",
                 stream=self.stream,
                 offset=offset,
                 error=str(error),
@@ -157,43 +157,43 @@
             return None
 
     async def write(self) -> None:
-        """Append queued records for ever, in groups."""
+        """Append queued records in batches until cancelled."""
         backoff_s = BACKOFF_FIRST_S
         while True:
-            await self._work.wait()
+            await self._has_unsent.wait()
             await asyncio.sleep(self.commit_interval_s)
-            if await self._write_group():
+            if await self._append_batch():
                 backoff_s = BACKOFF_FIRST_S
                 continue
-            # Guards against a herd: after an outage every writer would repeat
-            # at once and push the log service down again.
+            # Guards against a thundering herd: after an outage all writers would
+            # retry at the same time and overload the log service again.
             await asyncio.sleep(backoff_s * self._rng.uniform(0.5, 1.5))
             backoff_s = min(BACKOFF_MAX_S, 2 * backoff_s)
 
-    async def _write_group(self) -> bool:
-        group = list(self._unsent.values())[:RECORDS_PER_APPEND]
-        if not group:
-            self._work.clear()
+    async def _append_batch(self) -> bool:
+        batch = list(self._unsent.values())[:RECORDS_PER_APPEND]
+        if not batch:
+            self._has_unsent.clear()
             return True
-        fresh = {record.record_id for record in group} - self._attempted
+        fresh = {record.record_id for record in batch} - self._attempted
         self._attempted |= fresh
-        data = tuple(msgspec.msgpack.encode(record) for record in group)
+        data = tuple(msgspec.msgpack.encode(record) for record in batch)
         answer = await self.port.append(self.stream, data)
         self.appends += 1
         asked_s = asyncio.get_running_loop().time()
         match answer:
             case Ok(_):
-                await self._read_past(asked_s)
+                await self._wait_for_read_since(asked_s)
                 return True
             case Err(NoAnswer()):
-                await self._read_past(asked_s)
+                await self._wait_for_read_since(asked_s)
                 return False
             case _:
                 self._attempted -= fresh
                 return False
 
-    async def _read_past(self, asked_s: float) -> None:
-        """Wait until a read begun after ``asked_s`` has reached the end."""
+    async def _wait_for_read_since(self, asked_s: float) -> None:
+        """Wait until a read requested at ``asked_s`` or later has reached the end."""
         while self._read_to_end_s < asked_s:
             self._read_done.clear()
             self._poll_now.set()
--- a/packages/hornbeampaddle-entry/hornbeampaddle_entry/telemetry.py
+++ b/packages/hornbeampaddle-entry/hornbeampaddle_entry/telemetry.py
@@ -27,10 +27,10 @@
 
 
 class Metrics:
-    """Counters, gauges and timers; without an address nothing is sent."""
+    """A statsd client; without an address in the settings it sends nothing."""
 
     def __init__(self, settings: TelemetrySettings, instance_id: str) -> None:
-        """Open the UDP socket, if an address is set."""
+        """Open the UDP socket if an address is set."""
         self._client: statsd.StatsClient | None = None
         if settings.statsd is not None:
             self._client = statsd.StatsClient(
@@ -49,21 +49,21 @@
         if self._client is not None:
             self._client.gauge(name, value)
 
-    def timing(self, name: str, seconds_s: float) -> None:
+    def timing(self, name: str, duration_s: float) -> None:
         """Record a duration."""
         if self._client is not None:
-            self._client.timing(name, seconds_s * 1000)
+            self._client.timing(name, duration_s * 1000)
 
 
 class JsonSpanFile(SpanExporter):
-    """Write each ended span as one line of JSON."""
+    """Writes each finished span to a file as one line of JSON."""
 
     def __init__(self, path: Path) -> None:
         """Open the file for appending."""
         self._file: TextIO = path.open("a", encoding="utf-8")
 
     def export(self, spans: Sequence[ReadableSpan]) -> SpanExportResult:
-        """Write spans; called from the exporter's own thread."""
+        """Write spans; called in the exporter's thread."""
         for span in spans:
             self._file.write(json.dumps(_span_line(span)) + "\n")
         self._file.flush()
@@ -90,10 +90,10 @@
 
 
 class Traces:
-    """Make spans; without a file every call does nothing."""
+    """Creates spans; without a traces file all calls do nothing."""
 
     def __init__(self, settings: TelemetrySettings, instance_id: str) -> None:
-        """Start the exporter's thread, if a file is set."""
+        """Start the exporter's thread if a traces file is set."""
         self._provider: TracerProvider | None = None
         if settings.traces_file:
             resource = Resource(
@@ -108,7 +108,7 @@
     def span(
         self, name: str, traceparent: str = "", server: bool = False
     ) -> AbstractContextManager[Span | None]:
-        """Open a span, as a child of ``traceparent`` if that is set."""
+        """Open a span, as a child of ``traceparent`` if it is not empty."""
         if self._provider is None:
             return nullcontext()
         context = extract({"traceparent": traceparent}) if traceparent else None
@@ -116,30 +116,30 @@
         return self._tracer.start_as_current_span(name, context=context, kind=kind)
 
     def begin(self, name: str, traceparent: str) -> Span | None:
-        """Start a span that ends elsewhere, as a child of ``traceparent``."""
+        """Start a child span of ``traceparent`` that the caller must end."""
         if self._provider is None:
             return None
         context = extract({"traceparent": traceparent})
         return self._tracer.start_span(name, context=context, kind=SpanKind.SERVER)
 
-    def traceparent_of(self, span: Span | None, outer: str) -> str:
-        """Return the header that continues a span elsewhere."""
+    def traceparent_of(self, span: Span | None, default: str) -> str:
+        """Return the header to propagate ``span``, or ``default`` if there is none."""
         if span is None:
-            return outer
+            return default
         carrier: dict[str, str] = {}
         inject(carrier, context=set_span_in_context(span))
-        return carrier.get("traceparent", outer)
+        return carrier.get("traceparent", default)
 
-    def traceparent(self, outer: str = "") -> str:
-        """Return the header that continues the current span elsewhere."""
+    def traceparent(self, default: str = "") -> str:
+        """Return the header to propagate the current span, or else ``default``."""
         if self._provider is None:
-            return outer
+            return default
         carrier: dict[str, str] = {}
         inject(carrier)
-        return carrier.get("traceparent", outer)
+        return carrier.get("traceparent", default)
 
     def close(self) -> None:
-        """Write what is still held back."""
+        """Write buffered spans and stop the exporter."""
         if self._provider is not None:
             self._provider.shutdown()
 
--- a/packages/hornbeampaddle/hornbeampaddle/placement.py
+++ b/packages/hornbeampaddle/hornbeampaddle/placement.py
@@ -61,7 +61,7 @@
     """The last reported free capacity of all workers of one data centre."""
 
     rng: random.Random
-    rooms: dict[str, WorkerCapacity] = field(default_factory=dict)
+    capacities: dict[str, WorkerCapacity] = field(default_factory=dict)
 
     def heard(
         self,
@@ -77,10 +77,10 @@
 
         Return whether the worker has moved to a later epoch.
         """
-        room = self.rooms.get(worker.worker_id)
+        room = self.capacities.get(worker.worker_id)
         if room is None:
             room = WorkerCapacity(worker, decider, epoch, free, open_, now_s)
-            self.rooms[worker.worker_id] = room
+            self.capacities[worker.worker_id] = room
             return False
         # A replaced decider may go on sending reports; the later epoch wins.
         if epoch < room.epoch:
@@ -96,7 +96,7 @@
 
     def epoch(self, worker_id: str) -> int:
         """Return the latest reported epoch of a worker, or 0 if there is none."""
-        room = self.rooms.get(worker_id)
+        room = self.capacities.get(worker_id)
         return room.epoch if room is not None else 0
 
     def choose(self, needs: Resources, avoid: set[str], now_s: float) -> Choice:
@@ -105,7 +105,7 @@
 
         All workers are searched if no worker of the sample is suitable.
         """
-        names = list(self.rooms)
+        names = list(self.capacities)
         if len(names) > SAMPLE_SIZE:
             sample = self.rng.sample(names, SAMPLE_SIZE)
             chosen = self._best(sample, needs, avoid, now_s)
@@ -114,7 +114,7 @@
         chosen = self._best(names, needs, avoid, now_s)
         if chosen is not None:
             return Fits(chosen.worker.worker_id)
-        return never_fits(needs, [r.worker for r in self.rooms.values()])
+        return never_fits(needs, [r.worker for r in self.capacities.values()])
 
     def choose_for_preemption(self, needs: Resources, now_s: float) -> str | None:
         """
@@ -125,7 +125,7 @@
         """
         names = [
             name
-            for name, room in self.rooms.items()
+            for name, room in self.capacities.items()
             if room.open
             and room.avoided_until_s <= now_s
             and needs.fits_in(room.worker.capacity)
@@ -138,7 +138,7 @@
         best: WorkerCapacity | None = None
         best_score = (True, True, 0.0)
         for name in names:
-            room = self.rooms[name]
+            room = self.capacities[name]
             if not room.open or room.avoided_until_s > now_s:
                 continue
             if not needs.fits_in(room.free):
@@ -158,7 +158,7 @@
 
     def deduct(self, worker_id: str, needs: Resources) -> None:
         """Deduct an order's needs until the decider's next report."""
-        room = self.rooms.get(worker_id)
+        room = self.capacities.get(worker_id)
         if room is not None:
             room.free = room.free - needs
 
@@ -168,7 +168,7 @@
 
         If it fails again after that time, it is avoided for twice as long.
         """
-        room = self.rooms.get(worker_id)
+        room = self.capacities.get(worker_id)
         if room is None:
             return
         room.failures += 1
@@ -179,14 +179,14 @@
 
     def succeeded(self, worker_id: str) -> None:
         """Reset the worker's failure count and back-off after a successful attempt."""
-        room = self.rooms.get(worker_id)
+        room = self.capacities.get(worker_id)
         if room is not None:
             room.failures = 0
             room.avoid_s = AVOID_FIRST_S
 
     def sick(self, now_s: float) -> list[str]:
         """Return the ids of the workers that are currently avoided."""
-        return [n for n, r in self.rooms.items() if r.avoided_until_s > now_s]
+        return [n for n, r in self.capacities.items() if r.avoided_until_s > now_s]
 
 
 def never_fits(needs: Resources, workers: list[Worker]) -> Choice:
