--- a/features/bad_input.feature
+++ b/features/bad_input.feature
@@ -1,11 +1,11 @@
-Feature: Bad input gets a clear error and harms nobody else
-  A real listener on a loopback socket, with a bound of 2,000 bytes on heads, 1,000
-  on bodies and 0.2 s on the time that a head or a body may take.
+Feature: Bad input gets a clear error and affects no other caller
+  A real listener on a loopback socket, with limits of 2,000 bytes for the head of a
+  request, 1,000 for its body and 0.2 s for receiving either of them.
 
   Scenario Outline: <what>
     Given a listener
     When a peer sends <bytes>
-    Then it is answered with status <status> and the listener serves on
+    Then it is answered with status <status> and the listener goes on serving
 
     Examples:
       | what                         | bytes                          | status |
@@ -61,9 +61,9 @@
       | 0    |
       | soon |
 
-  Scenario Outline: A peer message with <what> is dropped and named
+  Scenario Outline: A peer message with <what> is dropped and counted
     Given the peer sockets of an instance
-    When a message with <what> comes in
+    When a message with <what> arrives
     Then nothing is delivered, one message was dropped, and the next good one arrives
 
     Examples:
--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Close each scenario's scene, whatever became of the scenario."""
+"""Close the scene of each scenario, whether it passed or failed."""
 
 import sys
 from pathlib import Path
--- a/features/foreign_entries.feature
+++ b/features/foreign_entries.feature
@@ -1,14 +1,14 @@
-Feature: Entries of other writers name nothing, and the others hold
-  Anybody may write into the platform's logs. A record may lack fields, have others of other
-  types, name a state or a service that nobody knows, or be bytes that cannot be read.
+Feature: Malformed records of other writers are ignored, and valid ones stay in force
+  Anybody may write into the platform's logs. A record may lack fields, have fields of a
+  wrong type, name an unknown state or service, or be bytes that cannot be decoded.
 
-  Scenario Outline: A worker's entry with <what> names no worker to use
-    # Orders went to an address that was no worker's, or to one with no room, and callers
-    # waited for what was placed there.
-    Given a good worker's entry with <what>
-    Then it names no worker
-    And that is logged once however often it comes
-    And the same entry in full names one
+  Scenario Outline: A worker's entry with <what> is not used
+    # Guards against orders to an address that belongs to no worker, or to a worker
+    # without capacity, while callers wait for the tasks that were placed there.
+    Given a valid worker's entry with <what>
+    Then it is decoded as no worker
+    And that is logged once however often the entry arrives
+    And the same entry in full is decoded as a worker
 
     Examples:
       | what                       |
@@ -30,8 +30,8 @@
       | an empty value             |
 
   Scenario Outline: An evacuation with <what> is <verdict>
-    # Another writer's bytes beside a key that names the data centre: tasks went on starting
-    # where an operator wanted none.
+    # Guards against tasks that go on starting in a data centre where the operator wants
+    # none, because another writer stored its bytes under the key of that data centre.
     Given the operator's record of an evacuation with <what>
     Then the evacuation of "dc-7" is <verdict>
 
@@ -42,16 +42,17 @@
       | no value                  | over    |
 
   Scenario: An entry of a service that the configuration does not name opens no session
-    # The holder called whatever listened at the address, over and over.
+    # Guards against a holder that calls whatever listens at the address again and
+    # again.
     Given a cell of 3 instances and 4 workers
     And the configuration names its services
     When a worker of a service that it does not name is listed
     And 2 s pass in the cell
     Then the holder knows 4 workers
 
-  Scenario: A worker whose entry is overwritten is not used until it writes again
+  Scenario: A worker whose entry is overwritten is not used until it writes it again
     Given a cell of 3 instances and 4 workers
-    When another writer overwrites the entry of "w0" with nothing that can be read
+    When another writer overwrites the entry of "w0" with no value
     And a job "ef01" of 1 steps of 6 tasks is handed in
     Then the job "ef01" is shown as completed within 10 s
     And "w0" has run nothing
@@ -59,8 +60,9 @@
     And 1 s pass in the cell
     Then the holder may use 4 workers
 
-  Scenario Outline: Bytes that cannot be read under <key> in the log of <log> end nobody
-    # Every instance reads the same record: all ended at once, and again at each start.
+  Scenario Outline: Undecodable bytes under <key> in the log of <log> crash no instance
+    # Guards against a crash of all instances at once, and again at each restart: every
+    # instance reads the same record.
     Given a cell of 3 instances and 4 workers
     When a job "ef02" of 2 steps of 4 tasks is handed in
     And another writer stores bytes that cannot be read as "<key>" in the log of <log>
@@ -81,8 +83,8 @@
       | progress | .lapses          |
       | peers    | i1               |
 
-  Scenario Outline: Any bytes at all are read, or named and left: <what>
-    Then any bytes at all are read or left by <what>
+  Scenario Outline: Arbitrary bytes are decoded, or reported and ignored: <what>
+    Then arbitrary bytes are decoded or ignored by <what>
 
     Examples:
       | what                          |
@@ -96,7 +98,8 @@
       | pages of newest records       |
 
   Scenario: An unreadable configuration causes no permanent refusals
-    # Guards against answering 404 for a queue that the unreadable configuration may add.
+    # Guards against answering 404 for a queue that the unreadable configuration may
+    # add.
     Given a cell of 3 instances and 4 workers
     When the operator stores an unreadable configuration
     And a job "ef03" of 1 steps of 6 tasks is handed in
--- a/features/known_red.py
+++ b/features/known_red.py
@@ -1,6 +1,6 @@
-"""Close the test run: count the scenarios and hold failures against KNOWN-RED.txt.
+"""Count the scenarios of a test run and compare its failures with KNOWN-RED.txt.
 
-``behave`` leaves its verdicts in JUnit files. A scenario that fails and is not
+``behave`` writes its results to JUnit files. A scenario that fails and is not
 listed in KNOWN-RED.txt fails the run, and so does a listed one that passes.
 """
 
@@ -9,7 +9,7 @@
 from xml.etree import ElementTree
 
 ROOT = Path(__file__).parent.parent
-MOST_RED = 3
+MAX_KNOWN_RED = 3
 
 
 def known_red():
@@ -20,7 +20,7 @@
     return {line.split(" | ")[0].strip() for line in lines}
 
 
-def verdicts(folder):
+def read_results(folder):
     passed, failed = set(), set()
     for path in sorted(Path(folder).glob("*.xml")):
         for case in ElementTree.parse(path).iter("testcase"):
@@ -30,24 +30,24 @@
 
 
 def main(folder):
-    passed, failed = verdicts(folder)
+    passed, failed = read_results(folder)
     red = known_red()
     unexpected = failed - red
-    mended = red & passed
+    fixed = red & passed
     for name in sorted(failed & red):
         print(f"known red: {name}")
     for name in sorted(unexpected):
         print(f"failed: {name}")
-    for name in sorted(mended):
+    for name in sorted(fixed):
         print(f"listed in KNOWN-RED.txt but passes: {name}")
     print(f"scenarios: {len(passed)} passed, {len(failed)} failed")
-    # A run that broke off has an exit code but may have no failed scenario.
-    broke_off = (Path(folder) / "exit").read_text().strip() != "0" and not failed
-    if broke_off:
+    # An aborted run has a non-zero exit code but may have no failed scenario.
+    aborted = (Path(folder) / "exit").read_text().strip() != "0" and not failed
+    if aborted:
         print("behave broke off")
-    good = passed and not unexpected and not mended and len(red) <= MOST_RED
-    good = good and not broke_off
-    return 0 if good else 1
+    succeeded = passed and not unexpected and not fixed and len(red) <= MAX_KNOWN_RED
+    succeeded = succeeded and not aborted
+    return 0 if succeeded else 1
 
 
 if __name__ == "__main__":
--- a/features/platform_border.feature
+++ b/features/platform_border.feature
@@ -1,11 +1,11 @@
-Feature: The platform's border decodes what is good and refuses the rest
-  Requests go through the real border into an instance of a played cell.
+Feature: The platform's adapters decode valid input and refuse the rest
+  Requests go through the real HTTP ingress into an instance of a simulated cell.
 
   Scenario Outline: <what>
     Given a cell of 3 instances and 4 workers
-    When the border gets <method> "<path>" for host "<host>" with <body>
+    When the ingress gets <method> "<path>" for host "<host>" with <body>
     Then it answers <status>
-    And nothing more than a good job was stored
+    And nothing but a valid job was stored
 
     Examples:
       | what                                | method | path                     | host | body             | status |
@@ -27,12 +27,13 @@
       | a count of no queue                 | GET    | /nothing/                | host | nothing          | 404    |
       | another method                      | PUT    | /urgent/00000000000000aa | host | a job            | 405    |
 
-  Scenario: Records go through the wire unchanged
-    # Any key and value, also empty ones and bytes that look like lengths.
-    Then any keyed records are the same after the wire
+  Scenario: Records are unchanged by encoding and decoding
+    # Any key and value, including empty ones and bytes that look like length prefixes.
+    Then any keyed records are the same after encoding and decoding
 
   Scenario Outline: The settings file of a process: <what>
-    # Every process ended at its start: the reader of the settings could not be built.
+    # Guards against every process ending at startup because the decoder of the settings
+    # file cannot be built.
     Given a settings file with <what>
     Then it is <verdict>
 
@@ -45,8 +46,8 @@
       | no settings at all         | refused with its path           |
 
   Scenario Outline: The operator's bound on <what> sets how long the cell may take
-    # A bound of another deployment was kept to by the figure of the usual one: too late
-    # there, or sooner than needed.
+    # Guards against a deployment with bounds of its own running with the thresholds of
+    # the default bounds, which act too late there or sooner than needed.
     Given a settings file whose bound <bound> is <bound_ms> ms
     Then the cell's threshold <threshold> is <threshold_s> s
 
@@ -57,10 +58,11 @@
       | serving tasks over their target   | impactMs   | 4500     | silence_after_s      | 1.9         |
 
   Scenario Outline: <what> in the store does not end an instance
-    # All instances would end at once, and again at each start: each reads the same record.
-    # Bytes that are no JSON raise another error than JSON of a wrong form.
+    # Guards against a crash of all instances at once, and again at each restart: each
+    # reads the same record. Bytes that are not JSON raise a different error than JSON
+    # of a wrong form.
     Given a record of <what> from the operator and from a worker
-    Then neither is taken and both are logged
+    Then both are rejected and logged
 
     Examples:
       | what                   |
@@ -70,19 +72,19 @@
       | an address of no port  |
 
   Scenario: A request that arrived before the listener drains is answered
-    # A caller's connection ends without an answer while an instance is being restarted.
-    # The process was busy for a moment and had not read yet what had arrived when its time
-    # to drain came; it closed the connections on which it waited for a request.
+    # Guards against a caller's connection that ends without an answer while an instance
+    # is restarted. The process is busy for a moment and has not read what has already
+    # arrived when it begins to drain; it then closes the connections that look idle.
     Given a listener with an open connection
     When a request has arrived and the listener drains at once
-    Then the caller has a whole answer that closes the connection
+    Then the caller gets a complete answer that closes the connection
 
   Scenario: A request on a new connection that arrived before the listener drains is answered
     Given a listener with an open connection
     When a request on a new connection has arrived and the listener drains at once
-    Then the caller has a whole answer that closes the connection
+    Then the caller gets a complete answer that closes the connection
 
-  Scenario: Half a request that arrived before the listener drains is answered
+  Scenario: A request of which half arrived before the listener drains is answered
     Given a listener with an open connection
     When the first half of a request has arrived and the listener drains at once
-    Then the caller has a whole answer that closes the connection
+    Then the caller gets a complete answer that closes the connection
--- a/features/platform_contract.feature
+++ b/features/platform_contract.feature
@@ -1,10 +1,10 @@
 Feature: The contract of the platform's ports
-  What docs/PLATFORM.md assumes, held against the HTTP adapters and the stand-ins
-  over loopback sockets. An adapter for another platform must pass the same.
+  Checks what docs/PLATFORM.md assumes against the HTTP adapters and the stand-ins
+  over loopback sockets. An adapter for another platform must pass the same checks.
 
   Scenario Outline: A worker, <promise>
     Given the ports to stand-ins
-    When the port is tried for "<promise>"
+    When the ports are checked for "<promise>"
     Then the contract holds
 
     Examples:
--- a/features/soak.feature
+++ b/features/soak.feature
@@ -1,12 +1,13 @@
-Feature: The real programs under faults from outside
-  Entry processes on loopback, with signals, broken links and a faulty store by a seed.
-  Each seed that ever failed stays here with a line on its cause.
+Feature: The real programs under injected faults
+  Entry processes on loopback get signals, broken links and a faulty store, all drawn from
+  a seed. Each seed that has failed is kept here with a line on its cause.
 
   Scenario Outline: Seed <seed>
     When the soak runs seed <seed> for 6 s
     Then it finds no problem
 
-    # 3502: a new holder had not read the log of jobs; tasks ran after their ends.
+    # 3502: a new holder had not read the log of jobs, and tasks ran again after their
+    # end.
     Examples:
       | seed |
       | 1    |
--- a/features/steps/bad_input_steps.py
+++ b/features/steps/bad_input_steps.py
@@ -1,4 +1,4 @@
-"""Steps that send bad input to listeners, interfaces, peer sockets and settings."""
+"""Steps that give bad input to listeners, interfaces, peer sockets and settings."""
 
 import asyncio
 import json
@@ -24,39 +24,42 @@
     header_bytes=2000, body_bytes=1000, head_timeout_s=0.2, body_timeout_s=0.2
 )
 LOOPBACK = Address("127.0.0.1", 0)
-HEAD = b"POST /x HTTP/1.1\r\nHost: a\r\n"
-GOOD = HEAD + b"Content-Length: 2\r\n\r\nok"
-CHUNKED = HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
-SENT = {
-    "good": GOOD,
-    "two at once": GOOD + GOOD,
+REQUEST_HEAD = b"POST /x HTTP/1.1\r\nHost: a\r\n"
+VALID_REQUEST = REQUEST_HEAD + b"Content-Length: 2\r\n\r\nok"
+CHUNKED = REQUEST_HEAD + b"Transfer-Encoding: chunked\r\n\r\n"
+REQUESTS = {
+    "good": VALID_REQUEST,
+    "two at once": VALID_REQUEST + VALID_REQUEST,
     "chunked": CHUNKED + b"2\r\nok\r\n0\r\n\r\n",
     "garbage": b"\x16\x03\x01 not http\r\n\r\n",
     "a bare line feed": b"POST /x HTTP/1.1\nHost: a\r\nContent-Length: 0\r\n\r\n",
-    "a folded header": HEAD + b"A: b\r\n c\r\nContent-Length: 0\r\n\r\n",
-    "both framings": HEAD + b"Content-Length: 2\r\n" + CHUNKED[len(HEAD) :] + b"0\r\n",
-    "two lengths": HEAD + b"Content-Length: 2\r\nContent-Length: 3\r\n\r\nok",
-    "a negative length": HEAD + b"Content-Length: -2\r\n\r\n",
+    "a folded header": REQUEST_HEAD + b"A: b\r\n c\r\nContent-Length: 0\r\n\r\n",
+    "both framings": REQUEST_HEAD
+    + b"Content-Length: 2\r\n"
+    + CHUNKED[len(REQUEST_HEAD) :]
+    + b"0\r\n",
+    "two lengths": REQUEST_HEAD + b"Content-Length: 2\r\nContent-Length: 3\r\n\r\nok",
+    "a negative length": REQUEST_HEAD + b"Content-Length: -2\r\n\r\n",
     "an odd chunk size": CHUNKED + b"0x2\r\nok\r\n0\r\n\r\n",
-    "an unknown transfer encoding": HEAD + b"Transfer-Encoding: gzip\r\n\r\n",
-    "a null byte in a header": HEAD + b"A: b\x00c\r\nContent-Length: 0\r\n\r\n",
-    "a head that never ends": HEAD + b"A: b\r\n" * 1000,
-    "a large header": HEAD + b"A: " + b"b" * 3000 + b"\r\n\r\n",
-    "a large length": HEAD + b"Content-Length: 5000\r\n\r\n",
+    "an unknown transfer encoding": REQUEST_HEAD + b"Transfer-Encoding: gzip\r\n\r\n",
+    "a null byte in a header": REQUEST_HEAD + b"A: b\x00c\r\nContent-Length: 0\r\n\r\n",
+    "a head that never ends": REQUEST_HEAD + b"A: b\r\n" * 1000,
+    "a large header": REQUEST_HEAD + b"A: " + b"b" * 3000 + b"\r\n\r\n",
+    "a large length": REQUEST_HEAD + b"Content-Length: 5000\r\n\r\n",
     "endless chunks": CHUNKED + (b"ff\r\n" + b"x" * 255 + b"\r\n") * 9,
-    "half a head": HEAD,
-    "half a body": HEAD + b"Content-Length: 9\r\n\r\nok",
+    "half a head": REQUEST_HEAD,
+    "half a body": REQUEST_HEAD + b"Content-Length: 9\r\n\r\nok",
 }
 
 
-async def _echo(request):
+async def _echo_body(request):
     return Response(200, request.body)
 
 
 async def _answer_to(port, data):
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
-    if data.startswith(GOOD) or data == SENT["chunked"]:
+    if data.startswith(VALID_REQUEST) or data == REQUESTS["chunked"]:
         writer.write_eof()
     answer = await reader.read()
     writer.close()
@@ -64,12 +67,12 @@
 
 
 async def _exchange(data):
-    """Send bytes to a fresh listener; return the answer, and that to a good one."""
-    server = HttpServer("test", LIMITS, _echo)
+    """Send bytes and then a valid request to a new listener; return both answers."""
+    server = HttpServer("test", LIMITS, _echo_body)
     address = await server.start(LOOPBACK)
     try:
         bad = await _answer_to(address.port, data)
-        good = await _answer_to(address.port, GOOD)
+        good = await _answer_to(address.port, VALID_REQUEST)
         return bad, good
     finally:
         await server.close()
@@ -87,10 +90,10 @@
 @when("a peer sends {name}")
 def send_bytes(context, name):
     context.name = name
-    context.answer, context.next_answer = asyncio.run(_exchange(SENT[name]))
+    context.answer, context.next_answer = asyncio.run(_exchange(REQUESTS[name]))
 
 
-@then("it is answered with status {status:d} and the listener serves on")
+@then("it is answered with status {status:d} and the listener goes on serving")
 def answered(context, status):
     statuses = _statuses(context.answer)
     if status == 0:
@@ -120,7 +123,7 @@
 
 
 @when('a caller sends a request with a timeout of "{text}"')
-def odd_timeout(context, text):
+def request_with_timeout(context, text):
     request = context.scene.request("checks", timeout_s=text)
     context.response = context.scene.call("e0", request)
 
@@ -144,7 +147,7 @@
     context.sockets = PeerSockets("brno", "e0~1", b"the right key", receive)
 
 
-def _sealed(key, version=PROTOCOL_VERSION, data_centre="brno", number=1):
+def _signed(key, version=PROTOCOL_VERSION, data_centre="brno", number=1):
     message = AskInventory("call")
     envelope = Envelope(version, data_centre, "e1~1", number, message)
     body = envelope_encoder.encode(envelope)
@@ -152,21 +155,21 @@
     return sender._mac(body) + body
 
 
-@when("a message with {what} comes in")
+@when("a message with {what} arrives")
 def bad_message(context, what):
     key = b"the right key"
-    sealer = PeerSockets("brno", "e1~1", key, lambda *_: None)
+    signer = PeerSockets("brno", "e1~1", key, lambda *_: None)
     unreadable = msgspec.msgpack.encode({"not": "an envelope"})
     data = {
-        "a wrong key": _sealed(b"another key"),
-        "an unknown version": _sealed(key, version=99),
-        "another data centre": _sealed(key, data_centre="olomouc"),
-        "no readable body": sealer._mac(unreadable) + unreadable,
+        "a wrong key": _signed(b"another key"),
+        "an unknown version": _signed(key, version=99),
+        "another data centre": _signed(key, data_centre="olomouc"),
+        "no readable body": signer._mac(unreadable) + unreadable,
         "no bytes": b"",
     }[what]
     context.sockets.take(data)
     context.after_bad = len(context.delivered)
-    context.sockets.take(_sealed(key))
+    context.sockets.take(_signed(key))
 
 
 @then("nothing is delivered, one message was dropped, and the next good one arrives")
--- a/features/steps/border_steps.py
+++ b/features/steps/border_steps.py
@@ -1,4 +1,4 @@
-"""Steps that send requests through the platform's border."""
+"""Steps that send requests, settings and records to the platform's adapters."""
 
 import asyncio
 import json
@@ -12,7 +12,7 @@
 
 import structlog
 from behave import given, then, when
-from hypothesis import given as any_of
+from hypothesis import given as hypothesis_given
 from hypothesis import settings
 from hypothesis import strategies as st
 
@@ -41,13 +41,13 @@
     "a circle": {"spec": "work", "phases": [{**PHASE, "dependsOn": [0]}]},
     "a later step": {"spec": "work", "phases": [{**PHASE, "dependsOn": [1]}, PHASE]},
 }
-RAW = {"garbage": b"\x00{not json", "nothing": b""}
+RAW_BODIES = {"garbage": b"\x00{not json", "nothing": b""}
 
 
-@when('the border gets {method} "{path}" for host "{host}" with {body}')
+@when('the ingress gets {method} "{path}" for host "{host}" with {body}')
 def send(context, method, path, host, body):
     instance = context.world.instances["i0"]
-    data = RAW[body] if body in RAW else json.dumps(BODIES[body]).encode()
+    data = RAW_BODIES[body] if body in RAW_BODIES else json.dumps(BODIES[body]).encode()
     request = Request(method, path, {"host": host}, data)
     handle = Ingress(instance).handle(request)
     context.response = context.loop.run_until_complete(handle)
@@ -58,22 +58,22 @@
     assert context.response.status == status, context.response
 
 
-@then("nothing more than a good job was stored")
+@then("nothing but a valid job was stored")
 def stored(context):
-    good = context.response.status == 200 and context.response.body == b"{}"
+    accepted = context.response.status == 200 and context.response.body == b"{}"
     topics = context.world.store.logs.values()
     jobs = [key for log in topics for key in log.newest if key.startswith("0000")]
-    assert len(set(jobs)) == (1 if good else 0), jobs
+    assert len(set(jobs)) == (1 if accepted else 0), jobs
 
 
-@then("any keyed records are the same after the wire")
+@then("any keyed records are the same after encoding and decoding")
 def round_trip(context):
     record = st.builds(
         Keyed, st.text(max_size=60), st.one_of(st.none(), st.binary(min_size=1))
     )
 
     @settings(max_examples=200, derandomize=True, database=None, deadline=None)
-    @any_of(st.lists(record, max_size=20))
+    @hypothesis_given(st.lists(record, max_size=20))
     def check(records):
         data = b"".join(map(encode_record, records))
         assert decode_records(data) == records
@@ -81,7 +81,7 @@
     check()
 
 
-BOOT = """nodeName = "entry-1"
+SETTINGS_TEXT = """nodeName = "entry-1"
 zone = "dc-1"
 ip = "127.0.0.1"
 internalPorts = [7720, 7735]
@@ -91,11 +91,15 @@
 [platform]
 address = "127.0.0.1:8169"
 """
-BOOTS = {
-    "everything": BOOT,
-    "no ports between processes": BOOT.replace("internalPorts = [7720, 7735]\n", ""),
-    "fields that nobody knows": BOOT + "\n[unknown]\nfield = [1, 'a']\n",
-    "no address of the store": BOOT.replace('address = "127.0.0.1:8169"\n', ""),
+SETTINGS_FILES = {
+    "everything": SETTINGS_TEXT,
+    "no ports between processes": SETTINGS_TEXT.replace(
+        "internalPorts = [7720, 7735]\n", ""
+    ),
+    "fields that nobody knows": SETTINGS_TEXT + "\n[unknown]\nfield = [1, 'a']\n",
+    "no address of the store": SETTINGS_TEXT.replace(
+        'address = "127.0.0.1:8169"\n', ""
+    ),
     "no settings at all": "",
 }
 
@@ -105,16 +109,16 @@
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     path = Path(folder.name, "settings.toml")
-    path.write_text(BOOTS[what])
+    path.write_text(SETTINGS_FILES[what])
     context.path = str(path)
 
 
 @given("a settings file whose bound {name} is {bound_ms:d} ms")
-def bound_file(context, name, bound_ms):
+def settings_file_with_bound(context, name, bound_ms):
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     path = Path(folder.name, "settings.toml")
-    path.write_text(f"{BOOT}\n[bounds]\n{name} = {bound_ms}\n")
+    path.write_text(f"{SETTINGS_TEXT}\n[bounds]\n{name} = {bound_ms}\n")
     context.path = str(path)
 
 
@@ -145,7 +149,7 @@
     except BootError as error:
         assert context.path in str(error), error
     else:
-        raise AssertionError("the settings were taken")
+        raise AssertionError("the settings were accepted")
 
 
 RECORDS = {
@@ -161,8 +165,8 @@
     context.value = RECORDS[what]
 
 
-@then("neither is taken and both are logged")
-def not_taken(context):
+@then("both are rejected and logged")
+def check_rejected_and_logged(context):
     with structlog.testing.capture_logs() as lines:
         decoded = Records().configuration(Keyed("config", context.value))
         assert isinstance(decoded, UnreadableConfiguration)
@@ -170,25 +174,25 @@
     assert [line["log_level"] for line in lines] == ["error", "error"], lines
 
 
-CALL = b"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nok"
-PATIENCE_S = 5.0
+REQUEST_BYTES = b"POST /x HTTP/1.1\r\nHost: a\r\nContent-Length: 2\r\n\r\nok"
+TIMEOUT_S = 5.0
 
 
-async def _echo(request):
+async def _echo_body(request):
     return Response(200, request.body)
 
 
 def _connect(port):
-    caller = socket.create_connection(("127.0.0.1", port), PATIENCE_S)
+    caller = socket.create_connection(("127.0.0.1", port), TIMEOUT_S)
     caller.setblocking(False)
     return caller
 
 
 async def _read(caller, until):
-    """Read until some bytes came, or the end of the connection; return all of it."""
+    """Read until the given bytes or the end of the connection; return all that came."""
     loop = asyncio.get_running_loop()
     data = b""
-    async with asyncio.timeout(PATIENCE_S):
+    async with asyncio.timeout(TIMEOUT_S):
         while until not in data:
             part = await loop.sock_recv(caller, 65536)
             if not part:
@@ -201,14 +205,14 @@
 def open_listener(context):
     context.runner = asyncio.Runner()
     context.add_cleanup(context.runner.close)
-    context.server = HttpServer("test", HttpLimits(), _echo)
+    context.server = HttpServer("test", HttpLimits(), _echo_body)
 
     async def begin():
         address = await context.server.start(Address("127.0.0.1", 0))
         context.port = address.port
         context.caller = _connect(address.port)
         context.add_cleanup(context.caller.close)
-        context.caller.send(CALL)
+        context.caller.send(REQUEST_BYTES)
         assert (await _read(context.caller, b"ok")).startswith(b"HTTP/1.1 200")
 
     context.runner.run(begin())
@@ -221,11 +225,15 @@
         if what == "a request on a new connection":
             caller = _connect(context.port)
             context.add_cleanup(caller.close)
-        half = len(CALL) - 1 if what == "the first half of a request" else len(CALL)
-        # On loopback these bytes are at the listener's socket when this returns.
-        caller.send(CALL[:half])
-        rest = CALL[half:]
-        draining = asyncio.create_task(context.server.drain(PATIENCE_S))
+        half = (
+            len(REQUEST_BYTES) - 1
+            if what == "the first half of a request"
+            else len(REQUEST_BYTES)
+        )
+        # On loopback the bytes are in the listener's socket buffer when send returns.
+        caller.send(REQUEST_BYTES[:half])
+        rest = REQUEST_BYTES[half:]
+        draining = asyncio.create_task(context.server.drain(TIMEOUT_S))
         if rest:
             await asyncio.get_running_loop().sock_sendall(caller, rest)
         try:
@@ -237,8 +245,8 @@
     context.runner.run(send_and_drain())
 
 
-@then("the caller has a whole answer that closes the connection")
-def whole_answer(context):
+@then("the caller gets a complete answer that closes the connection")
+def check_complete_answer(context):
     answer = context.answer
     assert answer.startswith(b"HTTP/1.1 200"), answer
     assert b"connection: close" in answer.lower(), answer
--- a/features/steps/common_steps.py
+++ b/features/steps/common_steps.py
@@ -1,4 +1,4 @@
-"""Steps that build a scene and let things happen in it."""
+"""Steps that build a scene, submit jobs to it and inject faults."""
 
 from behave import given, step, then, when
 from support.scene import Scene
@@ -25,7 +25,7 @@
 
 
 @step("{seconds_s:g} s pass")
-def let_pass(context, seconds_s):
+def advance_time(context, seconds_s):
     context.scene.pass_s(seconds_s)
 
 
@@ -76,5 +76,5 @@
 
 
 @then("no promise was broken")
-def promises(context):
+def check_promises_kept(context):
     context.scene.check_promises()
--- a/features/steps/contract_steps.py
+++ b/features/steps/contract_steps.py
@@ -1,4 +1,4 @@
-"""Steps that hold the ports against the platform's contract."""
+"""Steps that check the ports against the platform's contract."""
 
 import asyncio
 import random
@@ -34,8 +34,8 @@
 LEASE_S = 60.0
 
 
-class Stand:
-    """One worker, the log and the list, and the ports to them."""
+class PortFixture:
+    """A worker, the log service and the list of workers, with the ports to them."""
 
     async def __aenter__(self):
         worker = Worker("w0", Address("127.0.0.1", 0), "brno", "r0", CAPACITY)
@@ -171,7 +171,7 @@
     assert [a.ending for a in report.attempts] == [Ending.DONE], report
 
 
-async def too_large(s):
+async def too_large_refused(s):
     epoch = (await s.claim()).epoch
     await s.start(epoch, s.order(cpu_millis=6000))
     answer = await s.start(epoch, s.order("job/1", cpu_millis=3000))
@@ -185,20 +185,20 @@
     assert s.server.machine.ledger.requests_begun == {"key": 1}
 
 
-async def barred(s):
+async def barred_key_refused(s):
     epoch = (await s.claim()).epoch
     assert await s.worker.bar("key") is True
     assert isinstance(await s.run("key", epoch), Refused)
     assert not s.server.machine.ledger.requests_begun
 
 
-async def ran(s):
+async def bar_after_run(s):
     epoch = (await s.claim()).epoch
     await s.run("key", epoch)
     assert await s.worker.bar("key") is False
 
 
-async def gone(s):
+async def worker_gone(s):
     # A pooled connection that the worker closed may look open; a new one cannot.
     await s.server.server.close()
     s.worker = HttpWorker(s.server.worker.address, Timing(), Limits())
@@ -206,7 +206,7 @@
     assert isinstance(await s.run("key", 1), NotSent)
 
 
-async def reads_all(s):
+async def read_after_append(s):
     assert await s.log.append("a", (b"one", b"two")) == Ok(0)
     match await s.log.read("a", 1):
         case Ok(page):
@@ -214,7 +214,7 @@
             assert (page.oldest_offset, page.next_offset) == (0, 2)
 
 
-async def ambiguous(s):
+async def lost_answer_ambiguous(s):
     s.log_machine.fault = LogFault.LOSES_ANSWERS
     match await s.log.append("a", (b"one",)):
         case Err(error):
@@ -245,23 +245,23 @@
     "a renewal leaves out what goes on": renewal_leaves_out,
     "a renewal names what is absent": renewal_absent,
     "a stop gives a checkpoint that resumes": stop_resumes,
-    "what does not fit is refused": too_large,
+    "what does not fit is refused": too_large_refused,
     "a request runs once and is answered whole": request_runs,
-    "a barred key never runs": barred,
-    "a key that ran is not called never run": ran,
-    "a worker that is gone was certainly not sent": gone,
-    "a read shows all appends before it": reads_all,
-    "an append whose answer is lost is ambiguous": ambiguous,
+    "a barred key never runs": barred_key_refused,
+    "a key that ran is not called never run": bar_after_run,
+    "a worker that is gone was certainly not sent": worker_gone,
+    "a read shows all appends before it": read_after_append,
+    "an append whose answer is lost is ambiguous": lost_answer_ambiguous,
     "a log that is down says so": log_down,
     "an unchanged instance list is not sent again": unchanged_list,
 }
 
 
-async def _try(promise):
-    async with Stand() as stand:
-        claimed = await stand.claim()
+async def _check(promise):
+    async with PortFixture() as fixture:
+        claimed = await fixture.claim()
         assert isinstance(claimed, WorkerReport)
-        await PROMISES[promise](stand)
+        await PROMISES[promise](fixture)
 
 
 @given("the ports to stand-ins")
@@ -269,10 +269,10 @@
     context.problem = "not tried"
 
 
-@when('the port is tried for "{promise}"')
-def try_promise(context, promise):
+@when('the ports are checked for "{promise}"')
+def check_promise(context, promise):
     try:
-        asyncio.run(_try(promise))
+        asyncio.run(_check(promise))
         context.problem = None
     except AssertionError as error:
         context.problem = error
--- a/features/steps/foreign_steps.py
+++ b/features/steps/foreign_steps.py
@@ -1,4 +1,4 @@
-"""Steps on records that other writers have put into the logs."""
+"""Steps on malformed records that other writers have put into the logs."""
 
 import asyncio
 import json
@@ -11,7 +11,7 @@
 import structlog
 from behave import given, then, when
 from freshness_steps import count_answer
-from hypothesis import given as any_of
+from hypothesis import given as hypothesis_given
 from hypothesis import settings
 from hypothesis import strategies as st
 from support.cell_scene import act, play
@@ -30,7 +30,7 @@
 from hornbeampaddle_standins.cell.world import BATCH, URGENT  # noqa: E402
 
 UNREADABLE = b"\xff\x00\xc1{"
-GOOD = {
+VALID_ENTRY = {
     "service": "compute",
     "address": "10.0.0.9:8080",
     "zone": "dc-1",
@@ -43,7 +43,7 @@
 
 
 def without(name):
-    return {key: value for key, value in GOOD.items() if key != name}
+    return {key: value for key, value in VALID_ENTRY.items() if key != name}
 
 
 ENTRIES = {
@@ -52,19 +52,19 @@
     "no data centre": without("zone"),
     "no state": without("state"),
     "no capacity": without("capacity"),
-    "no memory": GOOD | {"capacity": {"cpu": 16000}},
-    "a state that nobody knows": GOOD | {"state": "resting"},
-    "a service that is a number": GOOD | {"service": 7},
-    "labels that are a number": GOOD | {"labels": 7},
-    "a capacity that is a text": GOOD | {"capacity": "much"},
-    "no processors": GOOD | {"capacity": {"cpu": 0, "memMb": 32768}},
-    "an address without a port": GOOD | {"address": "10.0.0.9"},
-    "an address of port 70000": GOOD | {"address": "10.0.0.9:70000"},
-    "an address without a host": GOOD | {"address": ":8080"},
+    "no memory": VALID_ENTRY | {"capacity": {"cpu": 16000}},
+    "a state that nobody knows": VALID_ENTRY | {"state": "resting"},
+    "a service that is a number": VALID_ENTRY | {"service": 7},
+    "labels that are a number": VALID_ENTRY | {"labels": 7},
+    "a capacity that is a text": VALID_ENTRY | {"capacity": "much"},
+    "no processors": VALID_ENTRY | {"capacity": {"cpu": 0, "memMb": 32768}},
+    "an address without a port": VALID_ENTRY | {"address": "10.0.0.9"},
+    "an address of port 70000": VALID_ENTRY | {"address": "10.0.0.9:70000"},
+    "an address without a host": VALID_ENTRY | {"address": ":8080"},
 }
 
 
-@given("a good worker's entry with {what}")
+@given("a valid worker's entry with {what}")
 def entry(context, what):
     match what:
         case "bytes that cannot be read":
@@ -76,24 +76,24 @@
     context.records = Records()
 
 
-@then("it names no worker")
-def names_none(context):
+@then("it is decoded as no worker")
+def check_decoded_as_none(context):
     with structlog.testing.capture_logs() as context.lines:
         assert context.records.worker(Keyed("i-1", context.value)) is None
 
 
-@then("that is logged once however often it comes")
+@then("that is logged once however often the entry arrives")
 def logged_once(context):
-    with structlog.testing.capture_logs() as more:
+    with structlog.testing.capture_logs() as repeated_lines:
         for _ in range(20):
             context.records.worker(Keyed("i-1", context.value))
-    events = [line["event"] for line in context.lines + more]
+    events = [line["event"] for line in context.lines + repeated_lines]
     assert events == ["record: not understood"], events
 
 
-@then("the same entry in full names one")
-def names_one(context):
-    value = json.dumps(GOOD).encode()
+@then("the same entry in full is decoded as a worker")
+def check_decoded_as_worker(context):
+    value = json.dumps(VALID_ENTRY).encode()
     assert context.records.worker(Keyed("i-1", value)).worker_id == "i-1"
 
 
@@ -108,7 +108,7 @@
 
 
 @when("a worker of a service that it does not name is listed")
-def list_other(context):
+def list_worker_of_unknown_service(context):
     listing = replace(
         context.world.workers["w0"].listing, worker_id="x0", service="other"
     )
@@ -121,18 +121,18 @@
 
 
 @then("the holder knows {count:d} workers")
-def knows(context, count):
+def check_worker_count(context, count):
     assert len(holder(context).cell.workers) == count, holder(context).cell.workers
 
 
-@when('another writer overwrites the entry of "{name}" with nothing that can be read')
-def overwrite(context, name):
+@when('another writer overwrites the entry of "{name}" with no value')
+def overwrite_entry(context, name):
     context.world.unlist_worker(name)
     play(context, asyncio.sleep(0.5))
 
 
 @then('"{name}" has run nothing')
-def run_nothing(context, name):
+def check_ran_nothing(context, name):
     assert not context.world.workers[name].position
     assert not context.world.workers[name].runs
 
@@ -143,7 +143,7 @@
 
 
 @then("the holder may use {count:d} workers")
-def may_use(context, count):
+def check_usable_count(context, count):
     workers = holder(context).cell.workers.values()
     usable = [w.worker_id for w in workers if w.usable(context.loop.time())]
     assert len(usable) == count, usable
@@ -213,36 +213,38 @@
     "who watches the holder": check_holder,
     "pages of newest records": check_page,
 }
-VALUES = st.recursive(
+ARBITRARY_VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=12),
     lambda inner: (
         st.lists(inner, max_size=5)
-        | st.dictionaries(st.sampled_from([*GOOD, "items", "key"]), inner, max_size=6)
+        | st.dictionaries(
+            st.sampled_from([*VALID_ENTRY, "items", "key"]), inner, max_size=6
+        )
     ),
     max_leaves=12,
 )
 
 
-def packed(value):
+def encode_or_empty(value):
     try:
         return msgspec.msgpack.encode(value)
     except OverflowError:
         return b""
 
 
-ANYTHING = (
+ARBITRARY_BYTES = (
     st.binary(max_size=60)
-    | VALUES.map(packed)
-    | VALUES.map(lambda value: json.dumps(value).encode())
+    | ARBITRARY_VALUES.map(encode_or_empty)
+    | ARBITRARY_VALUES.map(lambda value: json.dumps(value).encode())
 )
 
 
-@then("any bytes at all are read or left by {what}")
-def read_or_left(context, what):
+@then("arbitrary bytes are decoded or ignored by {what}")
+def check_arbitrary_bytes(context, what):
     check = CHECKS[what]
 
     @settings(max_examples=300, derandomize=True, database=None, deadline=None)
-    @any_of(ANYTHING)
+    @hypothesis_given(ARBITRARY_BYTES)
     def run(data):
         with structlog.testing.capture_logs():
             check(data)
--- a/features/steps/freshness_steps.py
+++ b/features/steps/freshness_steps.py
@@ -1,4 +1,4 @@
-"""Steps on how old an instance's view of a log is."""
+"""Steps on the age of an instance's view of a log."""
 
 import asyncio
 
@@ -22,21 +22,23 @@
 )
 from hornbeampaddle_wire.http_messages import Request
 
-# Routes that stand in a configuration beside the ones in use.
-OTHER_QUEUES = [Queue(f"other-{number:04}", "compute") for number in range(500)]
-# How often the instance is asked for its queues.
-ASK_EVERY_S = 0.1
-# How long the operator goes on after the store is back.
-AFTER_S = 6.0
-# Within this a stored configuration has to be in force.
+# Routes in the configuration that no scenario uses.
+UNUSED_QUEUES = [Queue(f"other-{number:04}", "compute") for number in range(500)]
+# How often the instance is queried for its queues.
+QUERY_INTERVAL_S = 0.1
+# How long the operator goes on adding queues after the store is back.
+ADD_AFTER_RETURN_S = 6.0
+# Time within which a stored configuration has to be in force.
 IN_FORCE_S = 2.0
 
 
 @given("one instance has a link of {mbit_per_s:g} Mbit/s")
-def narrow_link(context, mbit_per_s):
+def set_slow_link(context, mbit_per_s):
     world = context.world
-    context.narrow = next(name for name in world.instances if name != world.holder())
-    world.store.links[context.narrow] = Link(mbit_per_s * 1e6 / 8)
+    context.observed_instance = next(
+        name for name in world.instances if name != world.holder()
+    )
+    world.store.links[context.observed_instance] = Link(mbit_per_s * 1e6 / 8)
 
 
 async def count_answer(world, name, queue):
@@ -47,52 +49,49 @@
 
 
 @when(
-    "the store {how} for it for {away_s:g} s while a queue is added "
+    "the store {how} for it for {outage_s:g} s while a queue is added "
     "{per_s:d} times a second"
 )
-def change_while_away(context, how, away_s, per_s):
+def change_while_away(context, how, outage_s, per_s):
     world = context.world
     context.answers = []
     added = []
 
     async def operate():
-        deadline_s = world_s() + away_s + AFTER_S
-        while world_s() < deadline_s:
+        deadline_s = loop_time_s() + outage_s + ADD_AFTER_RETURN_S
+        while loop_time_s() < deadline_s:
             queue = Queue(f"added-{len(added):03}", "compute")
-            added.append((world_s(), queue))
+            added.append((loop_time_s(), queue))
             queues = [queue for _, queue in added]
-            world.configure(URGENT, BATCH, *OTHER_QUEUES, *queues)
+            world.configure(URGENT, BATCH, *UNUSED_QUEUES, *queues)
             await asyncio.sleep(1 / per_s)
 
-    async def ask():
+    async def query():
         while True:
-            asked_s = world_s()
+            asked_s = loop_time_s()
             for added_s, queue in added:
-                status = await count_answer(world, context.narrow, queue)
+                status = await count_answer(world, context.observed_instance, queue)
                 context.answers.append((asked_s, added_s, status))
-            await asyncio.sleep(ASK_EVERY_S)
+            await asyncio.sleep(QUERY_INTERVAL_S)
 
     async def both():
-        asking = asyncio.create_task(ask())
-        world.store.faults[context.narrow] = STORE_FAULTS[how]
+        asking = asyncio.create_task(query())
+        world.store.faults[context.observed_instance] = STORE_FAULTS[how]
         operating = asyncio.create_task(operate())
-        await asyncio.sleep(away_s)
-        del world.store.faults[context.narrow]
-        context.back_s = world_s()
+        await asyncio.sleep(outage_s)
+        del world.store.faults[context.observed_instance]
+        context.back_s = loop_time_s()
         await operating
         asking.cancel()
 
     play(context, both())
 
 
-def world_s():
+def loop_time_s():
     return asyncio.get_running_loop().time()
 
 
-@then(
-    "it never answers that a queue is unknown which was added {age_s:g} s before "
-    "or earlier"
-)
+@then("it never answers that a queue added {age_s:g} s before or earlier is unknown")
 def never_unknown(context, age_s):
     wrong = [
         (round(asked_s - context.back_s, 2), round(asked_s - added_s, 2))
@@ -120,17 +119,17 @@
     assert not late, late[:5]
 
 
-@given("a store whose answers take {answer_s:g} s on their way back")
+@given("a store whose answers take {answer_s:g} s to return")
 def slow_store(context, answer_s):
     new_loop(context)
 
     async def begin():
         context.world = World(7)
-        context.store = SlowAnswers(context.world.store.port("reader"), answer_s)
+        context.store = DelayedStore(context.world.store.port("reader"), answer_s)
         clock = SkewedClock(asyncio.get_running_loop(), 0.0)
-        context.taken = []
+        context.records_read = []
         context.follower = Follower(
-            context.store, Topic.JOBS, clock, context.taken.extend
+            context.store, Topic.JOBS, clock, context.records_read.extend
         )
         context.world.tasks["reader"] = asyncio.create_task(context.follower.run())
         await asyncio.sleep(10 * answer_s)
@@ -138,8 +137,8 @@
     play(context, begin())
 
 
-class SlowAnswers:
-    """A store port whose answers show the state of a while ago."""
+class DelayedStore:
+    """A store port that delays its answers, so that they show an earlier state."""
 
     def __init__(self, port, answer_s):
         self.port = port
@@ -156,23 +155,23 @@
         return outcome
 
 
-@when("a record is stored and the log is read whole after it")
-def store_and_look(context):
+@when("a record is stored and the log is then read to its end")
+def store_and_read(context):
     context.missed = []
 
-    async def look_often():
+    async def read_repeatedly():
         for number in range(20):
             await asyncio.sleep(0.137)
             key = f"{number:016x}"
             context.world.store.write(Topic.JOBS, Keyed(key, b"work"))
             assert await context.follower.catch_up(3.0)
-            if all(record.key != key for record in context.taken):
+            if all(record.key != key for record in context.records_read):
                 context.missed.append(key)
 
-    play(context, look_often())
+    play(context, read_repeatedly())
 
 
-@then("the record was among what was read, each time of 20")
+@then("the records read included it in each of 20 attempts")
 def none_missed(context):
     assert not context.missed, f"{len(context.missed)} of 20 records were missed"
 
@@ -183,7 +182,7 @@
         await asyncio.sleep(0.05)
 
     play(context, until_asked())
-    # The answer has reached the machine; the process reads it when it wakes.
+    # The answer has reached the machine; the process reads it after the resume.
     context.loop.now_s += gone_s
 
     async def wake():
@@ -195,7 +194,7 @@
     play(context, wake())
 
 
-@then("its view is taken to be at least {age_s:g} s old when that answer is read")
+@then("it considers its view at least {age_s:g} s old when that answer is read")
 def view_age(context, age_s):
     assert context.age_s >= age_s, context.age_s
 
@@ -214,18 +213,21 @@
 
 
 @given(
-    'one instance that gets no answers from the operator\'s log after "kept" ran there'
+    "one instance that gets no answers from the operator's log "
+    'once "kept" has run there'
 )
 def no_operator_log(context):
     world = context.world
     world.configure(URGENT, BATCH, Queue("closed", "compute"))
-    context.narrow = next(name for name in world.instances if name != world.holder())
+    context.observed_instance = next(
+        name for name in world.instances if name != world.holder()
+    )
 
     async def run_kept():
         await asyncio.sleep(1.0)
-        await world.submit(KEPT_ID, URGENT, plain(1), via=context.narrow)
+        await world.submit(KEPT_ID, URGENT, plain(1), via=context.observed_instance)
         assert await world.until_done(KEPT_ID, 8.0)
-        world.store.unanswered_reads.add((context.narrow, Topic.OPERATOR))
+        world.store.unanswered_reads.add((context.observed_instance, Topic.OPERATOR))
 
     play(context, run_kept())
 
@@ -240,18 +242,18 @@
 def answers_with(context, what, status):
     method, path, body = REQUESTS[what]
     request = Request(method, path, {"host": ROUTE_HOST}, body)
-    ingress = Ingress(context.world.instances[context.narrow])
+    ingress = Ingress(context.world.instances[context.observed_instance])
     response = play(context, ingress.handle(request))
     assert response.status == status, response
 
 
 @then("it is not ready")
 def not_ready(context):
-    assert not context.world.instances[context.narrow].ready()
+    assert not context.world.instances[context.observed_instance].ready()
 
 
-class AwayAtTimes(SlowAnswers):
-    """A store port with slow answers that can be out of reach."""
+class InterruptibleStore(DelayedStore):
+    """A store port with delayed answers that can be put out of reach."""
 
     away = False
 
@@ -262,7 +264,7 @@
 
 
 @given(
-    "a reader that waits {wait_s:g} s, of a store that answers after {answer_s:g} s "
+    "a reader that waits {wait_s:g} s on a store that answers after {answer_s:g} s "
     "and was out of reach"
 )
 def relayed_reader(context, wait_s, answer_s):
@@ -270,12 +272,12 @@
 
     async def begin():
         context.world = World(7)
-        context.store = AwayAtTimes(context.world.store.port("reader"), answer_s)
+        context.store = InterruptibleStore(context.world.store.port("reader"), answer_s)
         clock = SkewedClock(asyncio.get_running_loop(), 0.0)
         context.relay = Relay(context.store, PeerDirectory("reader"), None, clock)
-        context.taken = []
+        context.records_read = []
         context.follower = Follower(
-            context.relay, Topic.JOBS, clock, context.taken.extend
+            context.relay, Topic.JOBS, clock, context.records_read.extend
         )
         context.follower.wait_s = wait_s
         context.world.tasks["reader"] = asyncio.create_task(context.follower.run())
@@ -285,12 +287,12 @@
 
 
 @when(
-    "a record is stored and the log is read whole after it, just as the store is back"
+    "a record is stored and the log is then read to its end, just as the store is back"
 )
-def store_and_look_back(context):
+def store_and_read_on_return(context):
     context.missed = []
 
-    async def look_often():
+    async def read_repeatedly():
         for number in range(20):
             context.store.away = True
             while not context.relay.away:
@@ -300,11 +302,11 @@
             key = f"{number:016x}"
             context.world.store.write(Topic.JOBS, Keyed(key, b"work"))
             assert await context.follower.catch_up(5.0)
-            if all(record.key != key for record in context.taken):
+            if all(record.key != key for record in context.records_read):
                 context.missed.append(key)
             await asyncio.sleep(2.0)
 
-    play(context, look_often())
+    play(context, read_repeatedly())
 
 
 @when("a record is stored every {every_s:g} s for {for_s:g} s")
@@ -312,8 +314,8 @@
     context.ages_s = []
 
     async def store():
-        deadline_s = world_s() + for_s
-        while world_s() < deadline_s:
+        deadline_s = loop_time_s() + for_s
+        while loop_time_s() < deadline_s:
             context.world.store.write(Topic.JOBS, Keyed("key", b"work"))
             for _ in range(round(every_s / 0.01)):
                 await asyncio.sleep(0.01)
@@ -322,28 +324,28 @@
     play(context, store())
 
 
-@then("the view was never taken to be older than {age_s:g} s")
+@then("the view was never considered older than {age_s:g} s")
 def never_older(context, age_s):
     assert max(context.ages_s) <= age_s, max(context.ages_s)
 
 
-@when("a reload is asked for while a read is under way")
+@when("a reload is requested while a read is in progress")
 def reload_meanwhile(context):
     context.reloads = []
     context.follower.on_reload = context.reloads.append
     context.follower.wait_s = 0.0
 
-    async def ask():
+    async def query():
         await asyncio.sleep(1.0)
         reads = context.world.store.reads
         while context.world.store.reads == reads:
             await asyncio.sleep(0.01)
-        # The read that has just begun answers after 0.24 s.
+        # The read that has just begun is answered after 0.24 s.
         await asyncio.sleep(0.05)
         context.follower.offset = None
         await asyncio.sleep(2.0)
 
-    play(context, ask())
+    play(context, query())
 
 
 @then("the newest records are read again")
@@ -352,29 +354,29 @@
 
 
 async def store_jobs(world, kb_per_s, seconds_s):
-    """Write records into the log of jobs, 20 kB each."""
+    """Write records of 20 kB each into the log of jobs."""
     for _ in range(round(seconds_s * kb_per_s / 20)):
         await asyncio.sleep(20 / kb_per_s)
         world.store.write(Topic.JOBS, Keyed("unreadable", b"x" * 20_000))
 
 
 @when(
-    "the store is silent for it for {away_s:d} s while {kb_per_s:d} kB/s of jobs are "
+    "the store is silent for it for {outage_s:d} s while {kb_per_s:d} kB/s of jobs are "
     "stored"
 )
-def missed_jobs(context, away_s, kb_per_s):
+def missed_jobs(context, outage_s, kb_per_s):
     world = context.world
-    world.store.faults[context.narrow] = STORE_FAULTS["is silent"]
-    play(context, store_jobs(world, kb_per_s, away_s))
+    world.store.faults[context.observed_instance] = STORE_FAULTS["is silent"]
+    play(context, store_jobs(world, kb_per_s, outage_s))
     world.store.faults.clear()
 
 
 @when(
-    "the store is silent for it for {away_s:d} s while {kb_per_s:d} kB/s of jobs are "
-    "stored, and go on"
+    "the store is silent for it for {outage_s:d} s while {kb_per_s:d} kB/s of jobs are "
+    "stored, and go on being stored"
 )
-def missed_jobs_and_on(context, away_s, kb_per_s):
-    missed_jobs(context, away_s, kb_per_s)
+def missed_jobs_and_on(context, outage_s, kb_per_s):
+    missed_jobs(context, outage_s, kb_per_s)
 
     async def begin():
         world = context.world
@@ -384,9 +386,9 @@
     play(context, begin())
 
 
-@then("its view of the jobs is whole within {within_s:d} s")
-def whole_again(context, within_s):
-    instance = context.world.instances[context.narrow]
+@then("its view of the jobs is up to date within {within_s:d} s")
+def view_up_to_date(context, within_s):
+    instance = context.world.instances[context.observed_instance]
 
     def whole():
         return instance.jobs.age_s() < 1.0
@@ -397,12 +399,12 @@
 @given("the configuration has {count:d} queues")
 def many_queues(context, count):
     world = context.world
-    world.configure(URGENT, BATCH, *OTHER_QUEUES[:count])
+    world.configure(URGENT, BATCH, *UNUSED_QUEUES[:count])
     play(context, asyncio.sleep(2.0))
 
 
-@when("the store is silent for the holder for {away_s:d} s")
-def silent_for_holder(context, away_s):
+@when("the store is silent for the holder for {outage_s:d} s")
+def silent_for_holder(context, outage_s):
     world = context.world
     context.holder = world.holder()
     context.loads = 0
@@ -415,7 +417,7 @@
 
     follower._read_newest = counted
     world.store.faults[context.holder] = STORE_FAULTS["is silent"]
-    play(context, asyncio.sleep(away_s))
+    play(context, asyncio.sleep(outage_s))
     world.store.faults.clear()
     play(context, asyncio.sleep(2.0))
 
--- a/features/steps/relay_steps.py
+++ b/features/steps/relay_steps.py
@@ -30,7 +30,7 @@
     async def begin():
         context.world = World(7, relays=True)
         await build(context.world, instances, workers)
-        # Every instance has read where its peers are.
+        # Wait until every instance has read the addresses of its peers.
         await asyncio.sleep(6.0)
 
     play(context, begin())
@@ -53,8 +53,8 @@
     play(context, begin())
 
 
-@when("jobs are handed in for {seconds_s:d} s")
-def hand_in_jobs(context, seconds_s):
+@when("jobs are submitted for {seconds_s:d} s")
+def submit_jobs_for(context, seconds_s):
     world = context.world
     store = world.store
     reads_before, refused_before = store.reads, store.reads_refused
@@ -75,14 +75,14 @@
 
 
 @when("the store {how} for an instance that does not hold the cell")
-def turn_away(context, how):
+def fail_store_for_non_holder(context, how):
     world = context.world
-    context.turned_away = next(n for n in world.instances if n != world.holder())
-    world.store.faults[context.turned_away] = STORE_FAULTS[how]
+    context.unserved_instance = next(n for n in world.instances if n != world.holder())
+    world.store.faults[context.unserved_instance] = STORE_FAULTS[how]
 
 
-@when("{count:d} jobs are handed in there over {seconds_s:d} s")
-def hand_in(context, count, seconds_s):
+@when("{count:d} jobs are submitted to it over {seconds_s:d} s")
+def submit_to_unserved(context, count, seconds_s):
     world = context.world
     context.ready = []
     context.outcomes = {}
@@ -91,9 +91,11 @@
         for number in range(count):
             name = job_id(f"ad{number:02}")
             step = plain(2)
-            outcome = await world.submit(name, BATCH, step, via=context.turned_away)
+            outcome = await world.submit(
+                name, BATCH, step, via=context.unserved_instance
+            )
             context.outcomes[name] = outcome
-            context.ready.append(world.instances[context.turned_away].ready())
+            context.ready.append(world.instances[context.unserved_instance].ready())
             await asyncio.sleep(seconds_s / count)
 
     play(context, submit_all())
@@ -111,12 +113,12 @@
     assert all(context.ready), context.ready
 
 
-@when("the store {how} for the holder while jobs are handed in for {seconds_s:d} s")
-def turn_holder_away(context, how, seconds_s):
+@when("the store {how} for the holder while jobs are submitted for {seconds_s:d} s")
+def fail_store_for_holder(context, how, seconds_s):
     world = context.world
     context.holder = world.holder()
 
-    async def load():
+    async def submit_jobs_with_fault():
         via = next(name for name in world.instances if name != context.holder)
         for number in range(seconds_s * 5):
             if number == 5:
@@ -126,11 +128,11 @@
             await asyncio.sleep(0.2)
         context.until_s = asyncio.get_running_loop().time()
 
-    play(context, load())
+    play(context, submit_jobs_with_fault())
 
 
-@then("no span without a start was longer than {longest_s:g} s")
-def gap(context, longest_s):
+@then("no interval without a start was longer than {longest_s:g} s")
+def longest_gap(context, longest_s):
     starts = context.world.checker.started_at_s
     inside = [s for s in starts if context.from_s <= s <= context.until_s]
     marks = [context.from_s, *inside, context.until_s]
@@ -157,20 +159,20 @@
     store.faults.clear()
 
 
-@then("the store got fewer than {count:d} calls meanwhile")
+@then("the store got fewer than {count:d} calls in that time")
 def few_calls(context, count):
     assert context.calls < count, context.calls
 
 
 class SilentStore:
-    """A store that answers nothing."""
+    """A store whose every append goes unanswered."""
 
     async def append(self, topic, records, producer, at_offset):
         return NoAnswer("timed out")
 
 
 class RecordingPeers:
-    """A peer that stores whatever it is asked to."""
+    """A peer that records each request and reports it as stored."""
 
     def __init__(self):
         self.asked = []
@@ -191,20 +193,20 @@
     context.relay = Relay(SilentStore(), peer_directory, context.peers, clock)
 
 
-@when("a claim and a numbered append go through it")
+@when("a claim and an append with a sequence number go through it")
 def claim_and_append(context):
     records = [Keyed("key", b"value")]
     claim = context.relay.append(Topic.PROGRESS, records, None, 4)
     context.claimed = context.loop.run_until_complete(claim)
-    # The store itself is asked again, as a second later.
+    # Lets the relay try the store itself again, as it does a second later.
     context.relay._direct_at_s = float("-inf")
     producer = Producer("holder", 5, 0)
     append = context.relay.append(Topic.PROGRESS, records, producer, None)
     context.appended = context.loop.run_until_complete(append)
 
 
-@then("its peers saw the numbered append only")
-def seen(context):
+@then("its peers got only the append with a sequence number")
+def only_append_relayed(context):
     assert isinstance(context.claimed, NoAnswer), context.claimed
     assert context.appended == Appended(1), context.appended
     assert len(context.peers.asked) == 1
@@ -216,11 +218,11 @@
     asyncio.set_event_loop(context.loop)
     context.add_cleanup(context.loop.close)
     context.silent = Address("127.0.0.1", free_port())
-    context.speaking = Address("127.0.0.1", free_port())
-    context.speaks = asyncio.Event()
+    context.responsive = Address("127.0.0.1", free_port())
+    context.responds_again = asyncio.Event()
 
     async def wait(data):
-        await context.speaks.wait()
+        await context.responds_again.wait()
         return data
 
     async def echo(data):
@@ -228,13 +230,13 @@
 
     context.servers = [
         PeerChannel(context.silent, wait),
-        PeerChannel(context.speaking, echo),
+        PeerChannel(context.responsive, echo),
     ]
     context.client = PeerChannel(Address("127.0.0.1", free_port()), echo)
 
 
 @when("{count:d} requests go to each at once")
-def ask_all(context, count):
+def send_requests(context, count):
     client = context.client
 
     async def ask():
@@ -244,31 +246,33 @@
         tasks = [asyncio.create_task(channel.run()) for channel in channels]
         asked = [
             client.call(address, b"question", 0.2)
-            for address in (context.silent, context.speaking)
+            for address in (context.silent, context.responsive)
             for _ in range(count)
         ]
         answers = await asyncio.gather(*asked)
-        context.speaks.set()
+        context.responds_again.set()
         context.again = await client.call(context.silent, b"again", 5.0)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
         return answers[:count], answers[count:]
 
-    context.from_silent, context.from_speaking = context.loop.run_until_complete(ask())
+    context.silent_answers, context.responsive_answers = (
+        context.loop.run_until_complete(ask())
+    )
 
 
-@then("all requests to the silent peer come back empty")
+@then("all requests to the silent peer return no data")
 def empty(context):
-    assert set(context.from_silent) == {b""}, context.from_silent
+    assert set(context.silent_answers) == {b""}, context.silent_answers
 
 
 @then("all requests to the other are answered")
 def answered(context):
-    assert set(context.from_speaking) == {b"question"}, context.from_speaking
+    assert set(context.responsive_answers) == {b"question"}, context.responsive_answers
 
 
-@then("a request to the silent peer is answered once it speaks again")
+@then("a request to the silent peer is answered once it responds again")
 def answered_again(context):
     assert context.again == b"again"
 
@@ -301,7 +305,7 @@
     context.peers.call = refuse
 
 
-@when("a numbered append goes through it")
+@when("an append with a sequence number goes through it")
 def numbered_append(context):
     producer = Producer("i0-1", 1, 0)
     append = context.relay.append(Topic.JOBS, [Keyed("job", b"1")], producer, None)
@@ -314,14 +318,14 @@
 
 
 @given(
-    "links of {mbit_per_s:g} Mbit/s, and workers that write {kb_per_s:g} kB/s into "
-    "their list together"
+    "links of {mbit_per_s:g} Mbit/s, and workers that write {kb_per_s:g} kB/s in total "
+    "into their list"
 )
 def long_list(context, mbit_per_s, kb_per_s):
     world = context.world
     for name in world.instances:
         world.store.links[name] = Link(mbit_per_s * 1e6 / 8)
-    # Entries as long as those of many workers, written by few.
+    # A few workers write as many bytes as many would: their entries are padded.
     pad = frozenset({"x" * 1000})
     for worker in world.workers.values():
         labels = worker.listing.labels | pad
@@ -341,16 +345,16 @@
 
 
 @when(
-    "the store is silent for {away_s:d} s while an instance is asked each second "
+    "the store is silent for {outage_s:d} s while an instance is asked each second "
     "if it is ready"
 )
-def ask_ready(context, away_s):
+def ask_ready(context, outage_s):
     world = context.world
     instance = world.instances["i1"]
 
     async def ask():
-        for second in range(away_s + 8):
-            silent = 1 <= second <= away_s
+        for second in range(outage_s + 8):
+            silent = 1 <= second <= outage_s
             world.store.faults[""] = StoreFault.SILENT if silent else StoreFault.NONE
             instance.ready()
             await asyncio.sleep(1.0)
@@ -363,8 +367,8 @@
 
 @then('it has logged "ready: no" once for "{why}", and "ready: yes" after it')
 def logged_ready(context, why):
-    told = [(line["event"], line["why"]) for line in context.lines]
-    assert told in (
+    logged = [(line["event"], line["why"]) for line in context.lines]
+    assert logged in (
         [("ready: yes", ""), ("ready: no", why), ("ready: yes", "")],
         [("ready: no", why), ("ready: yes", "")],
-    ), told
+    ), logged
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the soak as its own process."""
+"""Steps that run the soak test as a separate process."""
 
 import subprocess
 import sys
@@ -7,7 +7,7 @@
 from behave import then, when
 
 SOAK = Path(__file__).parent.parent.parent / "platform" / "soak" / "soak.py"
-LONGEST_S = 120
+TIMEOUT_S = 120
 
 
 @when("the soak runs seed {seed:d} for {seconds:d} s")
@@ -17,7 +17,7 @@
         [*command, "--seconds", str(seconds)],
         capture_output=True,
         text=True,
-        timeout=LONGEST_S,
+        timeout=TIMEOUT_S,
     )
 
 
