--- a/features/cell.feature
+++ b/features/cell.feature
@@ -1,6 +1,6 @@
-Feature: A cell schedules from the log, whoever holds it
-  Real instances in simulated time, on stand-ins of the log service and of workers that
-  judge what they are told.
+Feature: A cell schedules from the log, whichever instance holds it
+  Real instances in simulated time, with simulated workers that check the orders they
+  get and a simulated log service.
 
   Scenario: A job's steps run in order and callers see it done
     Given a cell of 3 instances and 4 workers
@@ -9,17 +9,19 @@
     And no promise of the cell was broken
 
   Scenario: Eight instances that claim at once find one holder
-    # A user would see tasks stopped and started over and over. All instances start within
-    # a moment and claim at the same offset. With one producer name for all, the log
-    # answered every claim like the first, and each instance believed that it had won.
+    # Guards against several holders, which would stop and restart each other's tasks.
+    # All instances start within a moment and claim the cell at the same log offset. If
+    # all of them use one producer name, the log answers every claim like the first, and
+    # each instance believes that it won.
     Given a cell of 8 instances and 4 workers
     When 5 s pass in the cell
     Then exactly 1 instance believes that it holds the cell
 
   Scenario: Work that runs goes on under the next holder
-    # A user would see a check run in two places. A job was accepted long ago, its task runs,
-    # and the holder dies. The next one counted the lease of the inherited attempt from the
-    # job's acceptance, took it for lapsed, and started the task again beside the first run.
+    # Guards against a task that runs on two workers. A job was accepted long ago, and
+    # its task runs when the holder dies. If the next holder counts the lease of the
+    # inherited attempt from the job's acceptance, it takes the lease for expired and
+    # starts the task again beside the first run.
     Given a cell of 3 instances and 4 workers
     And tasks take 25 s
     When a job "aa02" of 1 steps of 3 tasks is handed in
@@ -31,8 +33,9 @@
     And no task was started more often than needed
 
   Scenario Outline: The store turns the holder away: <how>
-    # A user would see nothing start. The store serves everybody but the holder, which can
-    # store no order; it must stop giving any and another instance must go on.
+    # Guards against a cell in which nothing starts. The store serves every instance
+    # except the holder, which can store no order. The holder must stop giving orders,
+    # and another instance must take over.
     Given a cell of 3 instances and 4 workers
     When a job "aa04" of 3 steps of 4 tasks is handed in
     And 1 s pass in the cell
@@ -48,14 +51,14 @@
       | loses answers |
 
   Scenario Outline: The store fails everybody for 5 s: <how>
-    # A user's running work must live through it, and what was handed in before must end.
+    # Running work must survive the outage, and jobs submitted before it must complete.
     Given a cell of 3 instances and 4 workers
     And tasks take 3 s
     When a job "aa05" of 2 steps of 6 tasks is handed in
     And 2 s pass in the cell
-    And the store <how> for everybody
+    And the store <how> for all instances
     And 5 s pass in the cell
-    And the store serves everybody again
+    And the store serves all instances again
     Then the job "aa05" is shown as completed within 30 s
     And no promise of the cell was broken
 
@@ -67,30 +70,31 @@
       | acts late     |
 
   Scenario: A refused job never runs
-    # A user reads "not accepted" and hands the work in elsewhere. If the store took the
-    # first one after all, the work would be done twice under two ids.
+    # Guards against work that is done twice under two job ids. A caller that reads "not
+    # accepted" submits the work elsewhere, so the store must not have kept the first
+    # job after all.
     Given a cell of 3 instances and 4 workers
-    When the store refuses for everybody
+    When the store refuses for all instances
     And a job "aa06" of 1 steps of 2 tasks is handed in
     Then the job was refused
-    When the store serves everybody again
+    When the store serves all instances again
     And 10 s pass in the cell
     Then nothing has started
 
   Scenario: A job whose answer was lost is one job
-    # A user gets no answer and hands the same job in at another instance.
+    # A caller that gets no answer submits the same job again at another instance.
     Given a cell of 3 instances and 4 workers
-    When the store loses answers for everybody
+    When the store loses answers for all instances
     And a job "aa07" of 1 steps of 4 tasks is handed in
-    And the store serves everybody again
+    And the store serves all instances again
     And a job "aa07" of 1 steps of 4 tasks is handed in
     Then the job "aa07" is shown as completed within 15 s
     And no promise of the cell was broken
     And no task was started more often than needed
 
   Scenario: A worker that dies gives its tasks back
-    # A user waits for a check whose worker is gone. Its lease must be over before the task
-    # may start elsewhere, and then it must start.
+    # Guards against a job that never completes because its worker is gone. The task may
+    # start elsewhere only after the worker's lease has expired, and then it must.
     Given a cell of 3 instances and 4 workers
     And tasks take 4 s
     When a job "aa08" of 1 steps of 8 tasks is handed in
@@ -100,17 +104,19 @@
     And no promise of the cell was broken
 
   Scenario: A worker that fails everything is left alone
-    # A user's job is shown as failed although others would have done it: one worker ends
-    # every attempt as failed at once, is free again first, and gets the next attempt too.
+    # Guards against a job that fails although other workers could complete it. One
+    # worker fails every attempt at once, is therefore free first, and gets the next
+    # attempt as well.
     Given a cell of 3 instances and 6 workers
-    And one worker fails everything
+    And one worker fails every attempt
     When 12 jobs of 1 steps of 6 tasks are handed in
     Then all jobs are shown as completed within 40 s
 
-  Scenario: Tasks that stand still move to another worker
-    # A user waits for ever: a worker answers, lists the task as running, and does nothing.
+  Scenario: Tasks that make no progress move to another worker
+    # Guards against a job that never ends because a worker responds and lists the task
+    # as running, but makes no progress.
     Given a cell of 3 instances and 6 workers
-    And one worker stands still
+    And one worker makes no progress
     When 6 jobs of 1 steps of 6 tasks are handed in
     Then all jobs are shown as completed within 40 s
     And no promise of the cell was broken
@@ -124,16 +130,16 @@
     And 4 tasks of "aa09" are at work
     And no promise of the cell was broken
 
-  Scenario: Fillers stay away from the tasks that they disturb
-    # A front desk waits: a batch task sits beside a calendar task and pushes its tail over
-    # the target. Of two filling images one disturbs and one does not, which only the
-    # reports show. Both must still get done.
+  Scenario: Fillers stay away from the tasks with which they interfere
+    # Guards against a serving task that exceeds its latency target because a batch task
+    # (filler) runs on the same worker. Of two filler images one interferes and one does
+    # not, and only the reports show which. Jobs of both images must still complete.
     Given a cell of 3 instances and 8 workers
-    And the image "heavy" disturbs the image "serving" and "light" does not
+    And the image "heavy" interferes with the image "serving" and "light" does not
     And a lasting job "ab01" of 8 tasks of the image "serving" is at work
-    When 10 filling jobs each of the images "heavy" and "light" are handed in over 10 s
+    When 10 filler jobs each of the images "heavy" and "light" are handed in over 10 s
     Then all jobs are shown as completed within 60 s
-    And serving tasks were over their target for less than 12 task-seconds
+    And serving tasks exceeded their latency target for less than 12 task-seconds
     And no promise of the cell was broken
 
   Scenario: A gang starts whole or not at all
@@ -144,14 +150,14 @@
 
   Scenario: A job that is due several times runs each time, not early
     Given a cell of 3 instances and 4 workers
-    When a job "ab04" due 3 times every 2 s is handed in
+    When a job "ab04" with 3 occurrences, one every 2 s, is handed in
     Then the job "ab04" is shown as completed within 15 s
-    And its occurrences started in turn and not early
+    And its occurrences started in order and not early
 
   Scenario Outline: Random faults, seed <seed>
     Given a random walk of a cell with seed <seed>
     Then no promise of the cell was broken
-    And every accepted job came to its end
+    And every accepted job reached a final status
 
     Examples:
       | seed |
@@ -162,20 +168,22 @@
       | 5    |
       | 6    |
 
-  Scenario: A job that disturbs everybody still gets on while the cell is mostly free
-    # A batch user waits for ever in a cell with most of its room free: every worker serves
-    # an image that the job's image disturbs, so no worker is good enough for it.
+  Scenario: A job that interferes on every worker still runs in a mostly free cell
+    # Guards against a batch job that waits forever although most of the cell is free.
+    # Every worker serves an image with which the job's image interferes, so no worker
+    # qualifies.
     Given a cell of 3 instances and 4 workers
-    And the image "heavy" disturbs the image "serving" and "light" does not
+    And the image "heavy" interferes with the image "serving" and "light" does not
     And a lasting job "ac01" of 4 tasks of the image "serving" is at work
-    When 10 filling jobs each of the images "heavy" and "light" are handed in over 10 s
+    When 10 filler jobs each of the images "heavy" and "light" are handed in over 10 s
     And 4 s pass in the cell
-    Then no job has nothing at work
+    Then every unfinished filler job has a task at work
     And no promise of the cell was broken
 
   Scenario: A lasting task runs again although every worker with room rests
-    # A watcher stays away for seconds with room for it: its worker failed twice by chance,
-    # rests for 6 s, and no other has room.
+    # Guards against a lasting task that stays stopped for seconds although there is
+    # room for it. Its worker failed twice by chance and rests (gets no new tasks) for
+    # 6 s, and no other worker has room.
     Given a cell of 3 instances and 2 workers
     And a lasting job "ac02" of 6 tasks is at work
     When every worker rests and a task of "ac02" fails
@@ -183,12 +191,12 @@
     And no promise of the cell was broken
 
   Scenario Outline: Random faults and workers that refuse orders, seed <seed>
-    # Each of these seeds ended with a job that was never done, or room that never came back,
-    # while a stop that a worker refused was given up.
+    # Each of these seeds ends with a job that never completes, or with capacity that is
+    # never released, if a stop that a worker refuses is not sent again.
     Given a random walk with workers that refuse orders and seed <seed>
     Then no promise of the cell was broken
-    And every accepted job came to its end
-    And no worker's room is booked
+    And every accepted job reached a final status
+    And no worker's room is still occupied
 
     Examples:
       | seed |
@@ -198,11 +206,12 @@
       | 122  |
 
   Scenario: Lasting tasks of a lost worker come back although the holder is lost as well
-    # A record keeper's archive job is short of a task for fourteen seconds beside free room.
-    # Its worker was lost, its lease ran out, and the holder was lost meanwhile. The next one
-    # cannot know since when the worker is silent, and waits for a whole lease from its own
-    # beginning.
-    # Evidence: a run lapsed at 40.8 s, the next holder started the task again at 54.7 s.
+    # Guards against a lasting job that lacks a task for fourteen seconds beside free
+    # room. Its worker is lost, the lease expires, and the holder is lost meanwhile. The
+    # next holder cannot know since when the worker has been silent, and would wait for
+    # a whole lease from its own start.
+    # Example: a run's lease expires at 40.8 s, and the next holder restarts the task at
+    # 54.7 s.
     Given a cell of 3 instances and 4 workers
     And a lasting job "ah01" of 4 tasks is at work
     When a busy worker dies
--- a/features/crashing_tasks.feature
+++ b/features/crashing_tasks.feature
@@ -1,12 +1,13 @@
-Feature: A task that crashes its workers is given up, and nobody else's
-  Some tasks bring down each worker that starts them, with all that runs there. They are
-  started a few times more, never for good.
+Feature: A task that crashes its workers fails its own job and no other
+  Some tasks crash each worker that starts them, with all runs there. Such a task is
+  retried a limited number of times.
 
   Scenario: A task that crashes each worker that starts it is given up
-    # Users see their work lost again and again: one task of a job brings each worker down
-    # as it starts. Its run ends with the worker, counts as no attempt, and the task was
-    # started again at once, on the next worker, for ever: nothing counted such losses.
-    # The runs were released as "worker_replaced" 25 ms after their starts, unreported.
+    # Guards against a task that crashes worker after worker as it starts, each time
+    # with the loss of all runs there. A run that ends with its worker counts as no
+    # attempt, so unless such losses are counted the task is started again at once on
+    # the next worker, without end. The symptom is runs that are released as
+    # "worker_replaced" 25 ms after their starts, unreported.
     Given a cell of 3 instances and 6 workers
     And a lasting job "ba01" of 6 tasks is at work
     When a job "ba02" of 6 tasks is handed in, of which task 0 crashes its workers
@@ -15,10 +16,11 @@
     And at most 2 workers crashed
     And no promise of the cell was broken
 
-  Scenario: What is known of a crashing task survives its holders
-    # The same, and each time the worker goes, so does the holder. The next one read how
-    # often the task ran, not under how many of these runs a worker crashed, and had to
-    # find out itself that a worker is gone which is no longer listed.
+  Scenario: The crashes counted for a task survive changes of the holder
+    # As above, but the holder dies with each crash. Without a stored count, the next
+    # holder knows how often the task ran, but not how many of these runs ended with a
+    # crash of the worker, and has to find out itself that a worker which has left the
+    # list is gone.
     Given a cell of 3 instances and 6 workers
     When a job "ba03" of 6 tasks is handed in, of which task 0 crashes its workers
     And the holder dies soon after each crash, 4 times
@@ -26,8 +28,9 @@
     And no promise of the cell was broken
 
   Scenario: Those that run beside a crashing task finish
-    # Users of other jobs would be told that theirs failed: they started on the same worker
-    # in the same moment, twice. The suspected task starts apart, so the second loss tells.
+    # Guards against failing jobs of others whose tasks start on the same worker at the
+    # same moment as the crashing task, twice. The suspected task is started in
+    # isolation, so the second loss identifies it.
     Given a cell of 3 instances and 4 workers
     When a job "ba04" of 3 tasks is handed in, of which task 1 crashes its workers
     And 8 jobs of 2 steps of 6 tasks are handed in
@@ -36,16 +39,16 @@
     And no promise of the cell was broken
 
   Scenario: Workers that go down by themselves fail nobody's job
-    # Users would see jobs fail that could be done: workers go down and up by turns, for
-    # reasons of their own, and take what they run with them.
+    # Guards against failing jobs that could complete. Workers crash and restart in
+    # turn, for reasons unrelated to their tasks, and lose the runs on them.
     Given a cell of 3 instances and 8 workers
     When 30 jobs of 2 steps of 4 tasks are handed in while a worker crashes every 1.5 s
     Then all jobs are shown as completed within 60 s
     And no promise of the cell was broken
 
   Scenario: A task whose workers vanish is given up as well
-    # The workers are silent and do not come back at their address. Nobody says that they
-    # crashed: their leases run out while the list names them no more.
+    # The workers fall silent and do not return at their address. Nothing reports that
+    # they crashed: their leases expire while the list does not contain them.
     Given a cell of 3 instances and 8 workers
     And workers that crash stay away
     When a job "ba05" of 2 tasks is handed in, of which task 0 crashes its workers
@@ -54,8 +57,8 @@
     And no promise of the cell was broken
 
   Scenario: A task that crashes its workers after a while is given up as well
-    # Reports have shown the task at work each time, so nothing tells it from those beside
-    # it at first.
+    # Reports show the task as running each time, so at first nothing distinguishes it
+    # from the tasks beside it.
     Given a cell of 3 instances and 6 workers
     And tasks take 4 s
     And crashing tasks crash after 1.5 s
@@ -65,17 +68,17 @@
     And no promise of the cell was broken
 
   Scenario: A lasting task that was lost now and then is not given up
-    # An operator would find a watch failed after weeks: its task was lost with a worker
-    # now and then, and each of these losses still counted.
+    # Guards against failing a lasting job after weeks because its task was lost with a
+    # worker occasionally and each of these losses still counts.
     Given a cell of 3 instances and 4 workers
     And a lasting job "ba07" of 1 tasks is at work
     When the worker of "ba07" crashes 6 times after 1 s, with 13 s at work in between
     Then 1 tasks of "ba07" are at work within 6 s
     And no promise of the cell was broken
 
-  Scenario: What is at work is not blamed for what starts beside it
-    # Users would see their long tasks fail: several crashing tasks come one after the other
-    # and bring down the worker beneath the same long task again and again.
+  Scenario: A task at work is not blamed for one that starts beside it
+    # Guards against failing long tasks. Several crashing tasks arrive one after the
+    # other and crash the worker under the same long task again and again.
     Given a cell of 3 instances and 3 workers
     And tasks take 8 s
     When a job "ba09" of 3 tasks is handed in
@@ -84,8 +87,8 @@
     And no promise of the cell was broken
 
   Scenario: A worker that was only out of reach was not crashed by its task
-    # Users would see jobs fail in a data centre that was cut off several times: its workers
-    # were not listed and their leases ran out, but they are back with the same ids.
+    # Guards against failing jobs in a data centre that is cut off several times. Its
+    # workers are not listed and their leases expire, but they return with the same ids.
     Given a cell of 3 instances and 4 workers
     And tasks take 30 s
     When a job "ba08" of 8 tasks is handed in
@@ -94,47 +97,50 @@
     And no promise of the cell was broken
 
   Scenario: Workers that go down together were not brought down by a task
-    # Users would see jobs fail that could be done: a rack or a release takes several workers
-    # at once, and what had just been started on one was taken for the cause, twice.
-    # Evidence: on a day on which a fifth of the workers goes every three seconds, two jobs of
-    # 227 were given up for two losses within 0.25 s of their starts.
+    # Guards against failing jobs that could complete. A rack failure or a release takes
+    # several workers at once, and a task that has just started on one of them is taken
+    # for the cause, twice.
+    # Example: on a day on which a fifth of the workers fails every three seconds, two
+    # jobs of 227 fail because of two losses within 0.25 s of their starts.
     Given 6 workers of 16 cores
     When a task's worker and 2 others go down within a moment of its start, 3 times
     Then the job is not given up
 
   Scenario: A lasting task that is lost after seconds at work is not given up
-    # An operator would find a watch failed on a day on which workers go down and up: each
-    # run had been at work for seconds, so its start cannot have brought the worker down.
-    # Evidence: one job of 210 on such a day, after four losses within 10 s each.
+    # Guards against failing a lasting job on a day on which workers go down and up.
+    # Each run has been running for seconds, so its start cannot have crashed the
+    # worker.
+    # Example: one job of 210 on such a day fails, after four losses within 10 s each.
     Given 6 workers of 16 cores
     When a task's worker goes down after 7 s at work, 5 times
     Then the job is not given up
 
-  Scenario: A start that was sent to a worker which had gone already says nothing
-    # Users would see a job fail whose task was never started: the decision was stored
-    # slowly, the worker went meanwhile, and the start was sent after that, four times.
+  Scenario: A start that was sent to a worker already down is not held against its task
+    # Guards against failing a job whose task never started. The decision is stored
+    # slowly, the worker goes down meanwhile, and the start is sent after that, four
+    # times.
     Given 6 workers of 16 cores
     When a task's worker goes silent before its start is sent, 5 times
     Then the task is not suspected and its job not given up
 
-  Scenario: A worker that said that it leaves was not crashed by its task
-    # Users would see jobs fail while the workers of a service are replaced one after the
-    # other: a task without checkpoints stays until its worker exits, five times.
+  Scenario: A worker that was draining was not crashed by its task
+    # Guards against failing a job while the workers of a service are replaced one after
+    # the other. A task without checkpoints stays until its worker exits, five times.
     Given 6 workers of 16 cores
     When a task's worker drains and exits soon after its start, 5 times
     Then the task is not suspected and its job not given up
 
   Scenario Outline: Random faults, crashing tasks and shrinking workers, seed <seed>
-    # 20010, 20028: tasks crashed their workers a second after their starts, and were never
-    # blamed for it beside what had just been started; one went on for seven workers.
-    # 20037, 20046: others were given up beside crashing tasks, for they had started within
-    # the same moment; a report had shown them already.
-    # 30045, 30129: one was lost four times together with the same crashing task, for both
-    # were suspected and went where least was at stake.
+    # 20010, 20028: tasks crash their workers one second after their starts and are
+    # never blamed beside tasks that have just started; one goes on for seven workers.
+    # 20037, 20046: other tasks are blamed beside crashing tasks because they started in
+    # the same moment, although a report has already shown them running.
+    # 30045, 30129: a task is lost four times together with the same crashing task,
+    # because both are suspected and go to the worker with the least at stake.
     Given a random walk with crashing tasks and shrinking workers and seed <seed>
     Then no promise of the cell was broken
-    And every accepted job came to its end
-    And no job was given up but those that crash workers
+    And every accepted job reached a final status
+    And no job was given up except those that crash workers
 
     Examples:
       | seed  |
@@ -149,4 +155,4 @@
     # Guards against giving up a job because of crashes caused by another job's task.
     Given a random walk with evacuations and seed 77039
     Then no promise of the cell was broken
-    And no job was given up but those that crash workers
+    And no job was given up except those that crash workers
--- a/features/evacuation.feature
+++ b/features/evacuation.feature
@@ -1,9 +1,10 @@
 Feature: Nothing starts in a data centre that the operator evacuates
-  The operator asks that nothing more is started in a data centre, until that is taken
-  back. What runs there runs on; everything else waits or goes elsewhere.
+  The operator requests that nothing more is started in a data centre, until the request
+  is taken back. Running tasks continue; everything else waits or goes elsewhere.
 
   Scenario Outline: No <kind> task starts in an evacuated data centre
-    # A room is to be switched off, and tasks of every kind go on starting in it.
+    # Guards against tasks of any kind that go on starting in a data centre that is to
+    # be switched off.
     Given a cell of 3 instances, with 2 workers in each of 2 data centres
     When the data centre "dc-1" is evacuated
     And 5 s pass in the cell
@@ -22,7 +23,8 @@
       | speculative |
 
   Scenario: What runs in a data centre runs on when it is evacuated
-    # Watchers stand still for seconds because a data centre is emptied at once.
+    # Guards against lasting tasks that stop for seconds because a data centre is
+    # emptied at once.
     Given a cell of 3 instances, with 2 workers in each of 2 data centres
     And a lasting job "ee02" of 8 tasks is at work
     When the data centre "dc-1" is evacuated
@@ -32,8 +34,8 @@
     And no promise of the cell was broken
 
   Scenario: A start that waited for its answer is withdrawn from an evacuated data centre
-    # A start was decided and got no answer; the same start is sent again until it is
-    # carried out, long after the evacuation.
+    # A start is decided and gets no answer. Without a check, the same start is sent
+    # again until it is carried out, long after the evacuation.
     Given a cell of 3 instances, with 2 workers in each of 2 data centres
     When a job "ee03" of 4 tasks that take 6 cores each is handed in while no worker is reached
     And 0.3 s pass in the cell
@@ -43,8 +45,9 @@
     Then the job "ee03" is shown as completed within 40 s
     And no promise of the cell was broken
 
-  Scenario: A holder that follows knows of an evacuation that it did not see come
-    # The holder dies, and the next one fills the data centre that its predecessor left alone.
+  Scenario: A new holder knows of an evacuation that began before it took over
+    # Guards against a new holder that fills the data centre which its predecessor
+    # avoided.
     Given a cell of 3 instances, with 2 workers in each of 2 data centres
     When the data centre "dc-1" is evacuated
     And 5 s pass in the cell
@@ -53,27 +56,28 @@
     Then the job "ee04" is shown as completed within 20 s
     And no promise of the cell was broken
 
-  Scenario: Every instance begins anew during an evacuation whose history is gone
-    # All processes lose power, the store forgets what was replaced, and the evacuation with it.
+  Scenario: Every instance restarts during an evacuation whose history is discarded
+    # All processes lose power, and the store has discarded replaced records. The
+    # evacuation must not be lost with them.
     Given a cell of 3 instances, with 2 workers in each of 2 data centres
     When the data centre "dc-1" is evacuated
-    And the store forgets its history
+    And the store discards its history
     And 5 s pass in the cell
-    And every instance begins anew
+    And every instance restarts
     And 5 s pass in the cell
     And a job "ee05" of 2 steps of 6 tasks is handed in
     Then the job "ee05" is shown as completed within 20 s
     And no promise of the cell was broken
 
-  Scenario: An evacuation that was taken back while its history was forgotten is over
-    # A data centre stays empty for good: that its evacuation ended could not be read as a
-    # record, and the newest records do not name what was removed.
+  Scenario: An evacuation that was taken back while its history was discarded is over
+    # Guards against a data centre that stays empty for good. The end of its evacuation
+    # cannot be read as a record, and the newest records do not name what was removed.
     Given a cell of 3 instances, with 2 workers in each of 2 data centres
     When the data centre "dc-1" is evacuated
     And 2 s pass in the cell
     And the operator's log cannot be read by anyone
-    And the data centre "dc-1" is taken back
-    And the store forgets its history
+    And the evacuation of the data centre "dc-1" is taken back
+    And the store discards its history
     And 2 s pass in the cell
     And the operator's log can be read again
     And 5 s pass in the cell
@@ -82,9 +86,9 @@
     Then tasks of "ee06" are at work in "dc-1"
     And no promise of the cell was broken
 
-  Scenario: Nothing starts by an operator's log that is too old to trust
-    # The operator's log cannot be read for 15 s, everything else can: a data centre is
-    # evacuated meanwhile, nobody here knows, and new tasks fill it as before.
+  Scenario: Nothing starts while the view of the operator's log is too old
+    # The operator's log cannot be read for 15 s, everything else can. A data centre is
+    # evacuated meanwhile, no instance knows, and new tasks would fill it as before.
     Given a cell of 3 instances, with 2 workers in each of 2 data centres
     When a job "ee07" of 12 steps of 6 tasks is handed in
     And the operator's log cannot be read by anyone
@@ -95,7 +99,8 @@
     And no promise of the cell was broken
 
   Scenario: With every data centre evacuated, every job waits and none is lost
-    # Both rooms are emptied for a moment; jobs that were accepted meanwhile never begin.
+    # Guards against jobs that are accepted while both data centres are evacuated for a
+    # moment and never start.
     Given a cell of 3 instances, with 2 workers in each of 2 data centres
     When the data centre "dc-1" is evacuated
     And the data centre "dc-2" is evacuated
@@ -105,13 +110,14 @@
     And 8 s pass in the cell
     Then nothing of "ee08" has started
     And the holder says that "ee08" waits for an evacuated data centre
-    When the data centre "dc-2" is taken back
+    When the evacuation of the data centre "dc-2" is taken back
     Then the job "ee08" is shown as completed within 20 s
     And no promise of the cell was broken
 
   Scenario: Room in an evacuated data centre makes no urgent job wait for it
-    # An urgent job is late: a lasting task is stopped for it in the evacuated data centre,
-    # where nothing may start, instead of where it could.
+    # Guards against an urgent job that is late because a lasting task is preempted for
+    # it in the evacuated data centre, where nothing may start, instead of where it
+    # could.
     Given a cell of 3 instances, with 2 workers in each of 2 data centres
     And a lasting job "ee09" of 16 tasks is at work
     When the data centre "dc-1" is evacuated
@@ -121,8 +127,8 @@
     And no lasting task was stopped in "dc-1" to make room
 
   Scenario: Room in an evacuated data centre counts for no share of the service
-    # A job that could begin slowly beside others waits, as if a fourth of the service were
-    # free: it is, and may not be used.
+    # Guards against a job that waits although it could start at a reduced pace beside
+    # others. A fourth of the service seems free, but that room may not be used.
     Given 4 workers of 16 cores
     And lasting tasks of 4 cores fill them
     When a fifth worker with no task is listed, in a data centre that is evacuated
@@ -131,7 +137,7 @@
   Scenario Outline: A random walk with evacuations and seed <seed>
     Given a random walk with evacuations and seed <seed>
     Then no promise of the cell was broken
-    And every accepted job came to its end
+    And every accepted job reached a final status
 
     Examples:
       | seed |
--- a/features/shrinking_workers.feature
+++ b/features/shrinking_workers.feature
@@ -1,11 +1,12 @@
-Feature: Nothing starts on a worker that holds less by now
-  A worker's room may shrink and grow again while it runs. It says so in its entry of the
-  list; what starts counts on that.
+Feature: Nothing starts on a worker that has become too small
+  A worker's capacity may shrink and grow again while it runs. The worker states it in
+  its entry of the list, and starts rely on that.
 
   Scenario: A start that waited for its answer is withdrawn from a worker that shrank
-    # Users of the machine see it overrun: a start was decided and got no answer, the worker
-    # shrank to less than it needs, and the same start was sent again until it was carried
-    # out, seconds later. Room was looked at when the start was decided, and not again.
+    # Guards against an overcommitted worker. A start is decided and gets no answer, the
+    # worker shrinks to less than the task needs, and the same start is sent again until
+    # it is carried out, seconds later. Capacity must be checked each time, not only
+    # when the start is decided.
     Given a cell of 3 instances and 2 workers
     When a job "bb01" of 4 tasks that take 6 cores each is handed in while no worker is reached
     And 0.3 s pass in the cell
@@ -15,9 +16,9 @@
     Then the job "bb01" is shown as completed within 40 s
     And no promise of the cell was broken
 
-  Scenario: Nothing starts by a list that is too old to trust
-    # The list of workers cannot be read for 10 s, everything else can. The worker shrinks
-    # meanwhile, nobody here knows, and new tasks fill it as before.
+  Scenario: Nothing starts while the list of workers is too old
+    # The list of workers cannot be read for 10 s, everything else can. The worker
+    # shrinks meanwhile, no instance knows, and new tasks would fill it as before.
     Given a cell of 3 instances and 2 workers
     When the list of workers cannot be read by anyone
     And every worker shrinks to 8 cores
@@ -28,8 +29,9 @@
     Then the job "bb02" is shown as completed within 40 s
     And no promise of the cell was broken
 
-  Scenario: A start that waited is not sent again by a list that is too old
-    # Both at once: the start has no answer, and that its worker shrank cannot be read.
+  Scenario: A start that waited is not sent again while the list of workers is too old
+    # Both at once: the start has no answer, and the list that shows the smaller worker
+    # cannot be read.
     Given a cell of 3 instances and 2 workers
     When a job "bb05" of 4 tasks that take 6 cores each is handed in while no worker is reached
     And the list of workers cannot be read by anyone
@@ -41,9 +43,9 @@
     Then the job "bb05" is shown as completed within 40 s
     And no promise of the cell was broken
 
-  Scenario: What a worker gives back is used, and what it holds again as well
-    # Tasks that run stay where they are, nothing is added while they need more than there
-    # is, and the room is used as soon as it is back.
+  Scenario: A worker's room is not used while it is gone, and is used once it is back
+    # Running tasks stay where they are, nothing is added while they need more than
+    # there is, and the capacity is used as soon as it is back.
     Given a cell of 3 instances and 2 workers
     And a lasting job "bb03" of 4 tasks is at work
     When every worker shrinks to 4 cores
--- a/features/steps/advice_steps.py
+++ b/features/steps/advice_steps.py
@@ -1,4 +1,4 @@
-"""Steps on cells that ask a service of advice."""
+"""Steps on cells that ask an advice service."""
 
 import asyncio
 from dataclasses import fields, replace
@@ -36,13 +36,17 @@
     play(context, restart())
 
 
-@when('a job "{name}" of {steps:d} steps of {tasks:d} tasks is handed in for advice')
+@when(
+    'a job "{name}" of {steps:d} steps of {tasks:d} tasks is handed in '
+    "to the queue with advice"
+)
 def hand_in_advised(context, name, steps, tasks):
     submit_job(context, name, steps, tasks, ADVISED)
 
 
 @when(
-    'a gang job "{name}" of {tasks:d} tasks of {cores:d} cores is handed in for advice'
+    'a gang job "{name}" of {tasks:d} tasks of {cores:d} cores is handed in '
+    "to the queue with advice"
 )
 def hand_in_advised_gang(context, name, tasks, cores):
     step_ = plain(tasks, cores * 1000, gang=True)
@@ -67,7 +71,7 @@
 
 
 @when(
-    'a worker "{name}" is listed that the service of advice does not know '
+    'a worker "{name}" is listed that the advice service does not know '
     "for {seconds_s:d} s"
 )
 def list_worker_unknown_to_advice(context, name, seconds_s):
@@ -91,7 +95,7 @@
     assert used and used <= {one, other}, used
 
 
-@then("nobody was asked again about a worker that may not run the step")
+@then("no worker that may not run the step was asked about again")
 def asked_once(context):
     used = {name for name, w in context.world.workers.items() if w.highest_number}
     others = [name for name in context.asked if name not in used]
@@ -102,6 +106,6 @@
 def no_advice(context, seconds_s):
     play(context, asyncio.sleep(seconds_s))
     world = context.world
-    book = world.instances[world.holder()].holder.cell.advice
-    kept = {f.name: getattr(book, f.name) for f in fields(book)}
+    advice_state = world.instances[world.holder()].holder.cell.advice
+    kept = {f.name: getattr(advice_state, f.name) for f in fields(advice_state)}
     assert context.asked and not any(kept.values()), kept
--- a/features/steps/answer_steps.py
+++ b/features/steps/answer_steps.py
@@ -1,4 +1,4 @@
-"""Steps that hold the HTTP client against a peer that misbehaves."""
+"""Steps that test the HTTP client with a server that misbehaves."""
 
 import asyncio
 
@@ -9,38 +9,38 @@
 from hornbeampaddle_wire.http_messages import Request, Response
 
 TIMEOUT_S = 0.3
-ANSWER_BYTES = 1000
+ANSWER_MAX_BYTES = 1000
 HEAD = b"HTTP/1.1 200 OK\r\n"
 
 
-def _whole(body):
+def _complete_answer(body):
     return HEAD + b"Content-Length: %d\r\n\r\n%b" % (len(body), body)
 
 
-STRAY = _whole(b"an answer to somebody else")
-FIRST = {
-    "good, with a stray one behind": lambda body: _whole(body) + STRAY,
+STRAY = _complete_answer(b"an answer to somebody else")
+FIRST_ANSWERS = {
+    "good, with a stray one behind": lambda body: _complete_answer(body) + STRAY,
     "cut short": lambda body: HEAD + b"Content-Length: 99\r\n\r\n" + body,
     "without a length": lambda body: HEAD + b"\r\n" + body,
-    "too large": lambda body: _whole(b"x" * 2 * ANSWER_BYTES),
+    "too large": lambda body: _complete_answer(b"x" * 2 * ANSWER_MAX_BYTES),
     "a bad chunk": lambda body: HEAD + b"Transfer-Encoding: chunked\r\n\r\nzz\r\n",
     "garbage": lambda body: b"\x00\x01\x02 no HTTP\r\n\r\n",
     "nothing, then closed": lambda body: b"",
     "half a head, then silence": lambda body: HEAD,
-    "half a body, then silence": lambda body: _whole(body)[:-1],
+    "half a body, then silence": lambda body: _complete_answer(body)[:-1],
 }
 SILENT = ("silence", "half a head, then silence", "half a body, then silence", "late")
 CLOSING = ("cut short", "without a length", "nothing, then closed")
 
 
-class Peer:
+class FaultyServer:
     """A server that misbehaves at its first request."""
 
     def __init__(self, fault):
         self.fault = fault
         self.requests = 0
         self.connections = 0
-        self.never = asyncio.Event()
+        self.scenario_over = asyncio.Event()
         self.closed = asyncio.Event()
 
     async def serve(self, reader, writer):
@@ -68,23 +68,23 @@
         if fault == "late":
             # The answer is on its way while the client has stopped waiting.
             asyncio.get_running_loop().call_later(
-                TIMEOUT_S + 0.05, writer.write, _whole(body)
+                TIMEOUT_S + 0.05, writer.write, _complete_answer(body)
             )
         elif fault != "silence":
-            writer.write(FIRST.get(fault, _whole)(body))
+            writer.write(FIRST_ANSWERS.get(fault, _complete_answer)(body))
             await writer.drain()
         if fault in SILENT:
-            await self.never.wait()
+            await self.scenario_over.wait()
         return fault not in CLOSING and self.fault != "closes"
 
 
-async def _calls(fault, bodies, connections, at_once=False):
-    peer = Peer(fault)
+async def _calls(fault, bodies, connections, concurrent=False):
+    peer = FaultyServer(fault)
     server = await asyncio.start_server(peer.serve, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
-    client = HttpClient(Address("127.0.0.1", port), connections, ANSWER_BYTES)
+    client = HttpClient(Address("127.0.0.1", port), connections, ANSWER_MAX_BYTES)
     requests = [Request("POST", "/x", {}, body) for body in bodies]
-    if at_once:
+    if concurrent:
         calls = (client.call(request, 5.0) for request in requests)
         exchanges = await asyncio.gather(*calls)
     else:
@@ -95,7 +95,7 @@
                 await peer.closed.wait()
                 peer.closed.clear()
     client.close()
-    peer.never.set()
+    peer.scenario_over.set()
     server.close()
     return exchanges, peer
 
@@ -128,11 +128,11 @@
 
 @when("{count:d} requests are made at once over {connections:d} connections")
 def calls_at_once(context, count, connections):
-    call = _calls(context.fault, _bodies(count), connections, at_once=True)
+    call = _calls(context.fault, _bodies(count), connections, concurrent=True)
     context.exchanges, context.peer = asyncio.run(call)
 
 
-@then("the first ends as {first} and the second is answered whole, with its own")
+@then("the first ends as {first} and the second gets its own complete answer")
 def first_and_second(context, first):
     one, two = context.exchanges
     assert type(one).__name__ == first, one
@@ -142,7 +142,7 @@
     assert two.body == b"request 1", two.body
 
 
-@then("all are answered whole, each with its own")
+@then("all get their own complete answers")
 def all_own(context):
     for number, exchange in enumerate(context.exchanges):
         assert isinstance(exchange, Response), exchange
--- a/features/steps/cell_steps.py
+++ b/features/steps/cell_steps.py
@@ -1,4 +1,4 @@
-"""Steps that play a cell in simulated time."""
+"""Steps that run a cell in simulated time."""
 
 import asyncio
 import math
@@ -16,7 +16,7 @@
 from support.cell_walk import (
     FAULTS,
     FAULTS_BREAKING,
-    FAULTS_UNWELL,
+    FAULTS_REFUSING,
     build,
     given_up,
     new_world,
@@ -43,16 +43,16 @@
 
 
 @given("tasks take {seconds_s:g} s")
-def set_work(context, seconds_s):
+def set_task_duration(context, seconds_s):
     context.world.work_s = seconds_s
 
 
-@given("one worker fails everything")
+@given("one worker fails every attempt")
 def failing_worker(context):
     context.world.workers["w0"].fails_all = True
 
 
-@given("one worker stands still")
+@given("one worker makes no progress")
 def stalled_worker(context):
     context.world.workers["w0"].stalled = True
 
@@ -77,7 +77,7 @@
     assert play(context, world.until(lambda: running(world, name) == tasks, 5))
 
 
-@given('the image "heavy" disturbs the image "serving" and "light" does not')
+@given('the image "heavy" interferes with the image "serving" and "light" does not')
 def disturbs(context):
     def slope(serving, filling):
         return 8.0 if filling == "heavy" else 0.0
@@ -97,7 +97,7 @@
         submit_job(context, f"c{number:03d}", steps, tasks, URGENT)
 
 
-@when('10 filling jobs each of the images "heavy" and "light" are handed in over 10 s')
+@when('10 filler jobs each of the images "heavy" and "light" are handed in over 10 s')
 def hand_in_fillers(context):
     async def load():
         for number in range(10):
@@ -119,7 +119,7 @@
 
 
 def record_runs(world):
-    """Note every run that begins, with its time."""
+    """Record every run that begins, with its time."""
     runs = []
     for worker in world.workers.values():
 
@@ -131,7 +131,7 @@
     return runs
 
 
-@when('a job "{name}" due 3 times every 2 s is handed in')
+@when('a job "{name}" with 3 occurrences, one every 2 s, is handed in')
 def hand_in_due(context, name):
     context.runs = record_runs(context.world)
     world = context.world
@@ -170,13 +170,13 @@
     context.world.store.faults[context.before] = STORE_FAULTS[how]
 
 
-@when("the store {how} for everybody")
+@when("the store {how} for all instances")
 def fault_all(context, how):
     context.world.store.faults[""] = STORE_FAULTS[how]
 
 
-@when("the store serves everybody again")
-def heal_store(context):
+@when("the store serves all instances again")
+def clear_store_faults(context):
     context.world.store.faults.clear()
 
 
@@ -231,7 +231,7 @@
 
 
 @then("no promise of the cell was broken")
-def promises(context):
+def no_promise_broken(context):
     broken = context.world.checker.broken
     assert not broken, broken[:5]
 
@@ -265,7 +265,7 @@
 
 
 @then("nothing runs on the draining worker")
-def drained(context):
+def nothing_runs_on_draining(context):
     assert not context.draining.runs
 
 
@@ -279,7 +279,10 @@
     assert context.world.checker.starts == 0
 
 
-@then("serving tasks were over their target for less than {seconds_s:g} task-seconds")
+@then(
+    "serving tasks exceeded their latency target for less than "
+    "{seconds_s:g} task-seconds"
+)
 def over_target(context, seconds_s):
     over_s = context.world.checker.over_target_s
     assert over_s < seconds_s, over_s
@@ -291,8 +294,8 @@
     assert numbers == {1}, numbers
 
 
-@then("its occurrences started in turn and not early")
-def in_turn(context):
+@then("its occurrences started in order and not early")
+def in_order(context):
     first_s: dict[int, float] = {}
     for at_s, run in context.runs:
         first_s[run.key.occurrence] = min(
@@ -316,8 +319,8 @@
 
 
 @given("a random walk with workers that refuse orders and seed {seed:d}")
-def random_walk_unwell(context, seed):
-    random_walk(context, seed, FAULTS_UNWELL)
+def random_walk_refusing(context, seed):
+    random_walk(context, seed, FAULTS_REFUSING)
 
 
 @given("a random walk with crashing tasks and shrinking workers and seed {seed:d}")
@@ -325,13 +328,13 @@
     random_walk(context, seed, FAULTS_BREAKING)
 
 
-@then("no job was given up but those that crash workers")
+@then("no job was given up except those that crash workers")
 def none_given_up(context):
     assert not given_up(context.world), given_up(context.world)
 
 
-@then("no worker's room is booked")
-def nothing_booked(context):
+@then("no worker's room is still occupied")
+def no_room_occupied(context):
     world = context.world
     assert world.holder() is not None
     cell = world.instances[world.holder()].holder.cell
@@ -339,8 +342,8 @@
     assert cell.workers and not booked, booked
 
 
-@then("every accepted job came to its end")
-def came_to_end(context):
+@then("every accepted job reached a final status")
+def all_jobs_final(context):
     world = context.world
 
     async def states():
@@ -354,7 +357,7 @@
     assert not left, left
 
 
-@then("no job has nothing at work")
+@then("every unfinished filler job has a task at work")
 def all_at_work(context):
     world = context.world
 
@@ -369,7 +372,7 @@
 
 
 @when('every worker rests and a task of "{name}" fails')
-def rest_all(context, name):
+def rest_all_workers(context, name):
     world = context.world
     cell = world.instances[world.holder()].holder.cell
     for worker in cell.workers.values():
--- a/features/steps/compared_days_steps.py
+++ b/features/steps/compared_days_steps.py
@@ -1,4 +1,4 @@
-"""Steps that play several emulated days with and without a decision."""
+"""Steps that run several emulated days with and without a decision."""
 
 from contextlib import nullcontext
 from functools import cache
@@ -30,13 +30,13 @@
 
 
 def due_order(state, step, usual, now_s):
-    """Sort jobs by due time in place of their worth for the work left."""
+    """Sort jobs by due time instead of by their value per remaining work."""
     first = urgency.urgency(state, step, usual, now_s)[:-1]
     return (*first, state.accepted_at_s + state.job.objective_s())
 
 
 def waited_long(step, now_s):
-    """Let fillers that end start slowly as well."""
+    """Let finite fillers start at a reduced pace as well."""
     return now_s - (step.ready_at_s or now_s) >= slow_starts.SLOW_AFTER_S
 
 
@@ -66,7 +66,7 @@
 
 @cache
 def play_days(kind, count, seconds_s, change):
-    """Return the days of seeds 1 to ``count``; the same play always ends the same."""
+    """Return the days of seeds 1 to ``count``; a run is deterministic, so cached."""
     emulators = [Emulator(Demand(n + 1, DAYS[kind])) for n in range(count)]
     with CHANGES[change]():
         for emulator in emulators:
@@ -75,13 +75,13 @@
 
 
 def batch_share(emulators):
-    """Return what batch callers got on all days together, as a share."""
+    """Return the share of the value of all batch jobs that callers received."""
     batch = [emulator.earnings()["batch"] for emulator in emulators]
     return sum(day.earned for day in batch) / sum(day.owed for day in batch)
 
 
 def crashing_jobs(emulator):
-    """Return the jobs that have a task which crashes its workers."""
+    """Return the jobs with a task that crashes its workers."""
     jobs = emulator.cell.jobs
     return {job_id for job_id in jobs if emulator.demand.crashes(job_id)}
 
@@ -109,8 +109,8 @@
     )
 
 
-@then("a fifth more cores are open to fillers over a swing than {change}")
-def opened(context, change):
+@then("a fifth more cores are open to fillers over a load period than {change}")
+def more_open_cores(context, change):
     got, other = (
         sum(emulator.usable_filler_cores() for emulator in context.days(name))
         for name in ("as it is", change)
@@ -118,7 +118,7 @@
     assert got >= 1.2 * other, (got, other)
 
 
-@then("batch callers get {more:g} more of what they are owed than {change}")
+@then("batch callers receive {more:g} more of the value of their jobs than {change}")
 def more_for_batch(context, more, change):
     got, other = (batch_share(context.days(name)) for name in ("as it is", change))
     assert got >= other + more, (got, other)
@@ -131,12 +131,12 @@
 
 
 @then("on no day fillers kept a serving task over its target for {seconds:d} s")
-def harm_on_days(context, seconds):
+def not_over_target_on_days(context, seconds):
     longest_s = max(emulator.longest_over_s for emulator in context.days("as it is"))
     assert longest_s < seconds, longest_s
 
 
-@then("nothing starts on a worker that holds less by then")
+@then("nothing starts on a worker that has become too small")
 def no_overruns(context):
     assert not sum(emulator.overruns for emulator in context.days("as it is"))
 
@@ -151,14 +151,14 @@
 def given_up(context, most):
     for emulator in context.days("as it is"):
         jobs = emulator.cell.jobs
-        failed = {name for name, state in jobs.items() if fell(state)}
+        failed = {name for name, state in jobs.items() if failed_for_crashes(state)}
         assert failed <= crashing_jobs(emulator), failed
         assert emulator.crashes <= most * len(crashing_jobs(emulator))
         assert failed
 
 
-def fell(state):
-    """Tell whether a job failed though no attempt of it used up its limit."""
+def failed_for_crashes(state):
+    """Return whether a job failed without using up its limit of attempts."""
     if state.status is not JobStatus.FAILED:
         return False
     tasks = (t for steps in state.occurrences.values() for s in steps for t in s.tasks)
@@ -166,7 +166,7 @@
     return all(len(task.failed_runs) < limit for task in tasks)
 
 
-@then("callers get {more:g} more of what they are owed than {change}")
+@then("callers receive {more:g} more of the value of their jobs than {change}")
 def more_for_all(context, more, change):
     got, other = (
         sum(emulator.total() for emulator in context.days(name)) / context.count
--- a/features/steps/crash_steps.py
+++ b/features/steps/crash_steps.py
@@ -13,10 +13,10 @@
 from hornbeampaddle_standins.cell.world import URGENT
 
 CRASH_AFTER_S = 0.01
-AT_WORK_S = 6.0
-# From a crash to the death of the holder that sees it: before or after what it decided
-# is stored.
-HOLDER_AFTER_S = (0.001, 0.02, 2.01, 2.03)
+RESTART_TIMEOUT_S = 6.0
+# Time between a crash and the death of the holder that detects it: before or after its
+# decision is stored.
+HOLDER_DEATH_DELAYS_S = (0.001, 0.02, 2.01, 2.03)
 
 
 @given("workers that crash stay away")
@@ -60,10 +60,14 @@
     for _ in range(times):
         play(context, asyncio.sleep(after_s))
         act(context, busy_worker(world).crash)
-        assert play(context, world.until(lambda: running(world, name) == 1, AT_WORK_S))
+        assert play(
+            context, world.until(lambda: running(world, name) == 1, RESTART_TIMEOUT_S)
+        )
         play(context, asyncio.sleep(at_work_s))
         act(context, busy_worker(world).crash)
-        assert play(context, world.until(lambda: running(world, name) == 1, AT_WORK_S))
+        assert play(
+            context, world.until(lambda: running(world, name) == 1, RESTART_TIMEOUT_S)
+        )
 
 
 def busy_worker(world):
@@ -93,7 +97,7 @@
 
 
 def watch_runs(context, times):
-    """Hand in a job of one task that lasts; yield its runs until it is given up."""
+    """Submit a job of one lasting task; yield its runs until the job is given up."""
     context.player = player = prepared(context)
     player.submit("late", LASTING, step(1, 2000, lasting=True), 1e9)
     for _ in range(times):
@@ -110,7 +114,7 @@
     "a task's worker and {others:d} others go down within a moment of its start, "
     "{times:d} times"
 )
-def go_together(context, others, times):
+def lose_workers_together(context, others, times):
     for run in watch_runs(context, times):
         player = context.player
         away = [name for name in player.cell.workers if name != run.worker_id]
@@ -124,7 +128,7 @@
 
 
 @when("a task's worker goes down after {at_work_s:g} s at work, {times:d} times")
-def go_after_work(context, at_work_s, times):
+def lose_worker_after_work(context, at_work_s, times):
     for run in watch_runs(context, times):
         player = context.player
         player._report()
@@ -141,7 +145,7 @@
 
 
 @when("a task's worker goes silent before its start is sent, {times:d} times")
-def gone_before(context, times):
+def lose_worker_before_start(context, times):
     context.player = player = prepared(context)
     cell = player.cell
     player.submit("late", LASTING, step(1, 2000, lasting=True), 1e9)
@@ -211,10 +215,12 @@
     async def next_crash(seen):
         await world.until(lambda: world.checker.crashes.total() > seen, 15)
 
-    async def kill_again_and_again():
+    async def kill_after_each_crash():
         for number in range(times):
             await next_crash(world.checker.crashes.total())
-            await asyncio.sleep(HOLDER_AFTER_S[number % len(HOLDER_AFTER_S)])
+            await asyncio.sleep(
+                HOLDER_DEATH_DELAYS_S[number % len(HOLDER_DEATH_DELAYS_S)]
+            )
             name = world.holder()
             if name is None:
                 continue
@@ -222,7 +228,7 @@
             await asyncio.sleep(1.0)
             world.start_instance(name)
 
-    play(context, kill_again_and_again())
+    play(context, kill_after_each_crash())
 
 
 @then('the job "{name}" is shown as failed within {seconds_s:g} s')
--- a/features/steps/decision_steps.py
+++ b/features/steps/decision_steps.py
@@ -1,4 +1,4 @@
-"""Steps that play a few jobs against the scheduler alone."""
+"""Steps that run a few jobs against the scheduler alone."""
 
 from dataclasses import replace
 from unittest.mock import patch
@@ -28,7 +28,7 @@
 
 
 def load(player, prefix, jobs, per_s, queue, make_step, work_s, watch=None):
-    """Hand jobs in at a rate, play on, return when each came."""
+    """Submit jobs at a rate, run on, and return when each was submitted."""
     submitted_s = {}
     for number in range(jobs):
         job_id = f"{prefix}{number}"
@@ -52,8 +52,8 @@
 
     def play():
         player = prepared(context)
-        came_s = load(player, "batch", jobs, per_s, BATCH, make, work_s)
-        return player.on_time("batch", 2 * work_s + 1.0, came_s)
+        submission_times_s = load(player, "batch", jobs, per_s, BATCH, make, work_s)
+        return player.on_time("batch", 2 * work_s + 1.0, submission_times_s)
 
     context.play = play
 
@@ -73,8 +73,10 @@
 
     def play():
         player = prepared(context)
-        came_s = load(player, "urgent", jobs, 1, URGENT, make, work_s, watch)
-        return player.on_time("urgent", 1.5 * work_s + 0.25, came_s)
+        submission_times_s = load(
+            player, "urgent", jobs, 1, URGENT, make, work_s, watch
+        )
+        return player.on_time("urgent", 1.5 * work_s + 0.25, submission_times_s)
 
     context.play = play
 
@@ -85,21 +87,21 @@
     assert on_time >= count, on_time
 
 
-@then("by due times alone at most {count:d} of them are on time")
-def without_chance(context, count):
+@then("ordered by due time alone, at most {count:d} of them are on time")
+def ordered_by_due_time(context, count):
     with patch.object(urgency, "chance_of", lambda state, now_s: 0):
         on_time = context.play()
     assert on_time <= count, on_time
 
 
-@then("without making room none of them is done")
-def without_room(context):
+@then("without preemption none of them is done")
+def without_preemption(context):
     with patch.object(dispatch, "make_room", lambda *arguments: None):
         on_time = context.play()
     assert on_time == 0, on_time
 
 
-@then("no more than {count:d} lasting tasks were ever away")
+@then("no more than {count:d} lasting tasks were ever stopped at a time")
 def away(context, count):
     assert max(context.away) <= count, max(context.away)
 
--- a/features/steps/emulated_day_steps.py
+++ b/features/steps/emulated_day_steps.py
@@ -29,9 +29,10 @@
 
 
 @given(
-    "an emulated day with seed {seed:d} where all fillers disturb all serving images"
+    "an emulated day with seed {seed:d} where all fillers interfere with "
+    "all serving images"
 )
-def closed_day(context, seed):
+def all_interfering_day(context, seed):
     settings = DemandSettings(
         disturbing_ratio=1.0, two_resource_ratio=1.0, batch_per_s=4.0
     )
@@ -49,7 +50,7 @@
     context.emulator = play()
 
 
-@then("at least {count:d} of {total:d} pairs of images are told right")
+@then("at least {count:d} of {total:d} pairs of images are classified correctly")
 def pairs(context, count, total):
     emulator = context.emulator
     demand = emulator.demand
@@ -63,19 +64,22 @@
 
 
 @then("fillers kept no serving task over its target for {seconds:d} s")
-def harm(context, seconds):
+def not_over_target(context, seconds):
     longest_s = context.emulator.longest_over_s
     assert longest_s < seconds, longest_s
 
 
-@then("batch callers get at least {ratio:g} of what they are owed")
+@then("batch callers receive at least {ratio:g} of the value of their jobs")
 def batch_ratio(context, ratio):
     got = context.emulator.earnings()["batch"].ratio
     assert got >= ratio, got
 
 
-@then("no more than {ratio:g} if fillers wait for workers where they disturb nobody")
-def batch_ratio_apart(context, ratio):
+@then(
+    "no more than {ratio:g} if fillers wait for workers where they interfere "
+    "with no task"
+)
+def batch_ratio_without_interference(context, ratio):
     with patch.object(workers_module, "PLACE_SLACK", float("inf")):
         got = context.play().earnings()["batch"].ratio
     assert got <= ratio, got
@@ -172,7 +176,7 @@
 
 
 def give_advice(emulator, queue):
-    """Put serving jobs into a queue with advice that allows every worker."""
+    """Move serving jobs to a queue with advice that allows every worker."""
     tickets = dict.fromkeys(emulator.cell.workers, "ticket")
     add_job = emulator.cell.add_job
 
--- a/features/steps/evacuation_steps.py
+++ b/features/steps/evacuation_steps.py
@@ -54,7 +54,7 @@
     act(context, context.world.evacuate, name)
 
 
-@step('the data centre "{name}" is taken back')
+@step('the evacuation of the data centre "{name}" is taken back')
 def end_evacuation(context, name):
     act(context, context.world.end_evacuation, name)
 
@@ -66,12 +66,12 @@
     context.outcome = play(context, job)
 
 
-@when("the store forgets its history")
+@when("the store discards its history")
 def forget_history(context):
     context.world.store.forget_history()
 
 
-@when("every instance begins anew")
+@when("every instance restarts")
 def restart_all(context):
     world = context.world
 
@@ -107,7 +107,7 @@
 
 
 @then('the holder says that "{name}" waits for an evacuated data centre')
-def says_why(context, name):
+def logs_wait_reason(context, name):
     with capture_logs() as lines:
         play(context, asyncio.sleep(6.0))
     notes = [line for line in lines if line["event"] == "job_waits"]
--- a/features/steps/lease_steps.py
+++ b/features/steps/lease_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what a holder stores of the leases of silent workers."""
+"""Steps on what a holder stores about the leases of silent workers."""
 
 from behave import given, then, when
 from support.cell_player import LASTING, TICK_S, Player, step
@@ -30,14 +30,14 @@
     return cell.decide(now_s, now_s)
 
 
-@when("the holder has sent when the lease is over, without an answer")
+@when("the holder has sent when the lease expires, without an answer")
 def sent(context):
     context.lapses = decide(context, context.cell).lapses
     left_s = context.over_at_s - context.player.now_s
     assert context.lapses == {WORKER_ID: left_s}, (context.lapses, left_s)
 
 
-@when("the holder has stored when the lease is over")
+@when("the holder has stored when the lease expires")
 def stored(context):
     sent(context)
     context.cell.lapses.stored(context.player.now_s)
@@ -71,7 +71,7 @@
 
 
 def next_holder(context, lease_expiry_at_s):
-    """Return the cell of a holder that has read the log, and knows the worker."""
+    """Return the cell of a holder that has read the log and knows the worker."""
     old = context.cell.jobs[JOB_ID]
     cell = Scheduler(CellSettings())
     cell.lapses.inherit(lease_expiry_at_s)
@@ -95,7 +95,7 @@
 
 
 def waits_from_s(context, cell):
-    """Return when the tasks wait again, decision by decision."""
+    """Return when the tasks wait again, making a decision each tick."""
     now_s = context.begun_at_s
     while cell.jobs[JOB_ID].runs():
         now_s += TICK_S
@@ -112,7 +112,7 @@
 
 
 @then(
-    "a holder that has not read the record waits for them {more_s:g} s longer at least"
+    "a holder that has not read the record waits at least {more_s:g} s longer for them"
 )
 def waits_longer(context, more_s):
     later_s = waits_from_s(context, context.uninformed) - context.waits_from_s
--- a/features/steps/ledger_steps.py
+++ b/features/steps/ledger_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what the log keeps and instances make of it."""
+"""Steps on what the log keeps and what instances show of it."""
 
 import asyncio
 
@@ -24,7 +24,7 @@
     context.world.store.faults[name] = StoreFault.SILENT
 
 
-@when("the log forgets its history")
+@when("the log discards its history")
 def compact(context):
     context.world.store.forget_history()
 
@@ -34,8 +34,8 @@
     assert not context.world.instances[name].ready()
 
 
-@then('"{name}" does not deny the job "{job}"')
-def not_denied(context, name, job):
+@then('"{name}" does not say that the job "{job}" is unknown')
+def not_called_unknown(context, name, job):
     status = play(context, context.world.status(job_id(job), name))
     assert not isinstance(status, Gone), status
 
@@ -53,7 +53,7 @@
     context.reader = next(n for n in world.instances if n != world.holder())
     others = [n for n in world.instances if n != context.reader]
     world.store.unanswered_reads |= {(name, Topic.JOBS) for name in others}
-    # The silence of reads takes a second to begin: the one on its way is answered.
+    # Reads go unanswered only a second later: the one in progress is still answered.
     play(context, asyncio.sleep(1.5))
 
 
@@ -77,7 +77,7 @@
 
 @when('a job "{name}" of {steps:d} steps of {tasks:d} tasks is handed in at the holder')
 def hand_in_at_holder(context, name, steps, tasks):
-    # The silence of reads takes a second to begin: the one on its way is answered.
+    # Reads go unanswered only a second later: the one in progress is still answered.
     play(context, asyncio.sleep(1.5))
     submit_job(context, name, steps, tasks, URGENT, context.world.holder())
     play(context, asyncio.sleep(0.3))
--- a/features/steps/loss_steps.py
+++ b/features/steps/loss_steps.py
@@ -1,4 +1,4 @@
-"""Steps on the losses of late jobs."""
+"""Steps on the time that late jobs lose in each stage."""
 
 import json
 
@@ -125,21 +125,21 @@
     ]
 
 
-def found(context):
-    # As collectors deliver them: with a prefix.
+def compute_losses(context):
+    # With a prefix, as log collectors deliver them.
     texts = ["12.5 node-1 " + json.dumps(entry) for entry in context.lines]
     return losses(parse(texts))
 
 
-@then("its time is shared out as")
-def shared_out(context):
-    spent = {row.stage: round(row.seconds, 3) for row in found(context).rows}
+@then("its time is attributed as")
+def time_attributed(context):
+    spent = {row.stage: round(row.seconds, 3) for row in compute_losses(context).rows}
     assert spent == {row["stage"]: float(row["seconds"]) for row in context.table}
 
 
 @then("it counts as one late job")
 def one_late(context):
-    result = found(context)
+    result = compute_losses(context)
     assert result.late == {"batch": 1}, result.late
     shares = sum(row.jobs for row in result.rows)
     assert round(shares, 6) == 1.0, shares
@@ -148,14 +148,14 @@
 
 @then("no job is late and no stage costs anything")
 def none_late(context):
-    result = found(context)
+    result = compute_losses(context)
     assert result.ended == {"batch": 1}, result.ended
     assert not result.late
     assert not result.rows
 
 
 @then("its losses name {count:d} jobs that ended, and stages for each that was late")
-def played(context, count):
+def losses_of_simulated_cell(context, count):
     result = losses(parse(LINES))
     assert sum(result.ended.values()) == count, result.ended
     late = sum(result.late.values())
--- a/features/steps/outlook_steps.py
+++ b/features/steps/outlook_steps.py
@@ -1,4 +1,4 @@
-"""Steps on what workers open to fillers over a swing of their users' loads."""
+"""Steps on the CPU open to fillers over a period of the users' load."""
 
 from behave import given, then, when
 from support.cell_player import GIB, step
@@ -16,7 +16,7 @@
 SERVING_STEP = step(4, 13_000, lasting=True, image="serve", tail_target_s=0.1)
 
 
-@given("fillers that disturb them all")
+@given("fillers that interfere with all of them")
 def disturbing(context):
     model = Interference()
     model.inherit({"serve": {"fill": 6.0}})
@@ -26,13 +26,13 @@
 
 
 @then(
-    "a worker with tasks of jobs that swing alike opens at least {ratio:g} times as "
-    "much to fillers as one whose tasks do not"
+    "a worker with tasks whose loads are in phase opens at least {ratio:g} times as "
+    "much to fillers as one whose loads are not"
 )
 def opens_more(context, ratio):
-    alike = [(f"job{n}", "serve") for n in (0, 1, 2)]
+    in_phase = [(f"job{n}", "serve") for n in (0, 1, 2)]
     apart = [(f"job{n}", "serve") for n in (0, 4, 7)]
-    opened = context.outlook.value_millis(alike, 64_000, 39_000)
+    opened = context.outlook.value_millis(in_phase, 64_000, 39_000)
     closed = context.outlook.value_millis(apart, 64_000, 39_000)
     assert opened >= ratio * closed > 0, (opened, closed)
 
@@ -47,7 +47,10 @@
     return worker
 
 
-@when("another task of the first job is to be placed beside its like or beside others")
+@when(
+    "another task of the first job is to be placed beside tasks in phase "
+    "or beside others"
+)
 def place_beside(context):
     workers = [worker_with("like", "job1"), worker_with("other", "job7")]
     ranking = Ranking("job0", SERVING_STEP, context.model, {}, outlook=context.outlook)
@@ -55,6 +58,6 @@
     context.chosen = ranking.choose(TaskKey("job0", 0, 0, 0), "")
 
 
-@then("it goes beside its like")
-def beside_like(context):
+@then("it goes beside tasks in phase")
+def beside_in_phase(context):
     assert context.chosen.worker_id == "like", context.chosen.worker_id
--- a/features/steps/shrink_steps.py
+++ b/features/steps/shrink_steps.py
@@ -1,4 +1,4 @@
-"""Steps on workers that hold more or less while they run."""
+"""Steps on workers whose capacity changes while they run."""
 
 from behave import step, then, when
 from support.cell_scene import act, job_id, play
--- a/features/steps/trace_steps.py
+++ b/features/steps/trace_steps.py
@@ -1,4 +1,4 @@
-"""Steps that tell stories from logs."""
+"""Steps that derive the history of a request from logs."""
 
 import contextlib
 import fcntl
@@ -14,32 +14,32 @@
 from hornbeampaddle_cli.budget import budget
 from hornbeampaddle_cli.story import build_story, format_line, parse
 
-# Loggers keep the writer that they met first, so all scenarios share one.
+# Loggers cache the first writer that they are given, so all scenarios share one.
 LINES = []
 
 
 @functools.cache
-def kept_log():
+def captured_log():
     _, write_end = os.pipe()
     writer = logs.set_up("cell", write_end)
     writer.add = lambda event, line: LINES.append(line.decode())
 
 
 @given("its log is kept")
-def keep_log(context):
-    kept_log()
+def capture_log(context):
+    captured_log()
     LINES.clear()
 
 
-@given("every worker fails everything")
+@given("every worker fails every attempt")
 def all_fail(context):
     for worker in context.world.workers.values():
         worker.fails_all = True
 
 
-@then('the story of "{name}" says "{text}"')
-def story_says(context, name, text):
-    # Out of order and with a prefix, as collectors deliver them.
+@then('the history of "{name}" says "{text}"')
+def history_says(context, name, text):
+    # Out of order and with a prefix, as log collectors deliver them.
     texts = [f"  1.25 node-1 {line}" for line in reversed(LINES)]
     story = build_story(parse(texts), name.rjust(16, "0"))
     assert text in story.cause, story.cause
@@ -61,7 +61,7 @@
     LINES[:] = [json.dumps(line)]
 
 
-@given("a log writer with a reader that stands still")
+@given("a log writer with a stalled reader")
 def slow_reader(context):
     context.read_end, write_end = os.pipe()
     context.log = logs.LogWriter(write_end)
--- a/features/steps/waiting_steps.py
+++ b/features/steps/waiting_steps.py
@@ -1,4 +1,4 @@
-"""Steps on jobs that wait and on what may start meanwhile."""
+"""Steps on waiting jobs and on what may start meanwhile."""
 
 from collections import Counter
 from dataclasses import replace
@@ -14,8 +14,8 @@
 from hornbeampaddle.resources import Resources
 
 
-def fill_all(player, serving=False):
-    """Reserve all processors for tasks that last."""
+def reserve_all_cpu(player, serving=False):
+    """Reserve all CPU for lasting tasks."""
     more = {"image": "site", "tail_target_s": 0.1} if serving else {}
     player.submit("full", LASTING, step(16, 4_000, lasting=True, **more), 1e9)
     player.play(1.0)
@@ -30,12 +30,12 @@
 
 
 def without_free(player):
-    fill_all(player)
+    reserve_all_cpu(player)
     return BATCH, step(1, 4_000)
 
 
 def without_spare(player):
-    fill_all(player)
+    reserve_all_cpu(player)
     fillers = step(4, 8_000, filler=True, image="night")
     player.submit("fillers", BATCH, fillers, 1e9)
     player.play(1.0)
@@ -43,7 +43,7 @@
 
 
 def disturbing(player):
-    fill_all(player, serving=True)
+    reserve_all_cpu(player, serving=True)
     return BATCH, step(1, 8_000, filler=True, image="night")
 
 
@@ -77,11 +77,11 @@
     ]
 
 
-@then("its wait is noted once, with the reason {reason}")
-def noted_once(context, reason):
-    noted = waits_of(context.player, "waits")
-    assert [detail["reason"] for _, detail in noted] == [reason], noted
-    assert 3.0 <= noted[0][1]["waited_s"] < 4.0, noted
+@then("its wait is logged once, with the reason {reason}")
+def logged_once(context, reason):
+    logged = waits_of(context.player, "waits")
+    assert [detail["reason"] for _, detail in logged] == [reason], logged
+    assert 3.0 <= logged[0][1]["waited_s"] < 4.0, logged
 
 
 @when("{count:d} batch jobs wait for {seconds:g} s")
@@ -93,17 +93,20 @@
     player.play(seconds)
 
 
-@then("every one of them has said why it waits")
-def all_noted(context):
+@then("every one of them has logged why it waits")
+def all_logged(context):
     silent = [j for j in context.waiting if not waits_of(context.player, j)]
     assert not silent, silent
 
 
-@then("no decision said more than {most:d} and no job more than once in {pause_s:g} s")
-def few_notes(context, most, pause_s):
+@then(
+    "no decision logged more than {most:d} waits and no job more than one "
+    "in {pause_s:g} s"
+)
+def few_log_entries(context, most, pause_s):
     player = context.player
-    said = [at_s for at_s, note in player.notes if note.event == "job_waits"]
-    assert max(Counter(said).values()) <= most
+    logged_at_s = [at_s for at_s, note in player.notes if note.event == "job_waits"]
+    assert max(Counter(logged_at_s).values()) <= most
     for job_id in context.waiting:
         times_s = [at_s for at_s, _ in waits_of(player, job_id)]
         gaps_s = [b - a for a, b in pairwise(times_s)]
@@ -121,7 +124,7 @@
     context.setup.append(fill)
 
 
-@when("a filling job of {count:d} x {cpu_millis:d} thousandths of a core is handed in")
+@when("a filler job of {count:d} x {cpu_millis:d} thousandths of a core is handed in")
 def filling_job(context, count, cpu_millis):
     context.player = player = prepared(context)
     filler = step(count, cpu_millis, filler=True, image="day")
@@ -129,7 +132,7 @@
 
 
 @when(
-    "a lasting filling job of {count:d} x {cpu_millis:d} thousandths of a core "
+    "a lasting filler job of {count:d} x {cpu_millis:d} thousandths of a core "
     "is handed in"
 )
 def lasting_filling_job(context, count, cpu_millis):
@@ -152,7 +155,7 @@
     context.setup.append(fill)
 
 
-@when("a filling job with that data is handed in")
+@when("a filler job with that data is handed in")
 def filling_job_with_data(context):
     context.player = player = prepared(context)
     filler = step(1, 4_000, filler=True, image="day", data_rack="r-0")
@@ -163,11 +166,11 @@
 def at_work(context, within_s):
     player = context.player
     player.play(within_s)
-    noted = waits_of(player, "late")
-    assert player.cell.jobs["late"].runs(), noted
+    logged = waits_of(player, "late")
+    assert player.cell.jobs["late"].runs(), logged
 
 
-@then("it works at no more than {percent:d} % of its speed while the others work")
+@then("it runs at no more than {percent:d} % of its speed while the others run")
 def slow_start(context, percent):
     player = context.player
     paces = set()
@@ -177,7 +180,7 @@
     assert max(paces) <= percent, paces
 
 
-@then("it works at full speed once they are done")
+@then("it runs at full speed once they are done")
 def full_speed(context):
     context.player.play(4.0)
     runs = context.player.cell.jobs["late"].runs()
@@ -221,14 +224,14 @@
     context.setup.append(serve)
 
 
-@when("a filling gang of {count:d} x {cores:d} cores is handed in")
+@when("a filler gang of {count:d} x {cores:d} cores is handed in")
 def filling_gang(context, count, cores):
     context.player = player = prepared(context)
     gang = step(count, cores * 1000, filler=True, image="day", gang=True)
     player.submit("late", BATCH, gang, 60.0)
 
 
-@then("all of its {count:d} tasks began at a low pace")
+@then("all of its {count:d} tasks started at a reduced pace")
 def gang_pace(context, count):
     runs = context.player.cell.jobs["late"].runs()
     assert len(runs) == count, runs
@@ -282,7 +285,7 @@
 
 
 @when(
-    "a filling step of {count:d} tasks, of which a worker may have {most:d}, "
+    "a filler step of {count:d} tasks, of which a worker may have {most:d}, "
     "waits for {seconds:g} s"
 )
 def limited_filler(context, count, most, seconds):
@@ -318,14 +321,14 @@
     assert not context.player.cell.jobs["late"].runs()
 
 
-@given("lasting tasks of {cores:d} cores fill them but for a quarter")
+@given("lasting tasks of {cores:d} cores fill all but a quarter of them")
 def fill_most(context, cores):
     fill_most_from_queue(context, cores, LASTING)
 
 
 @given(
     "lasting tasks of {cores:d} cores and priority {priority:d} "
-    "fill them but for a quarter"
+    "fill all but a quarter of them"
 )
 def fill_most_with_priority(context, cores, priority):
     fill_most_from_queue(context, cores, replace(LASTING, priority=priority))
@@ -345,38 +348,42 @@
 )
 def urgent_pressure(context, tasks, cores, per_s, for_s):
     player = context.player = prepared(context)
-    away_since_s = {}
-    context.away_s = []
+    stopped_since_s = {}
+    context.stopped_s = []
 
     def watch(player):
         for step_state in player.cell.jobs["lasting"].occurrences[0]:
             for task in step_state.tasks:
                 if task.run is None:
-                    away_since_s.setdefault(task.key, player.now_s)
-                elif task.key in away_since_s:
-                    context.away_s.append(player.now_s - away_since_s.pop(task.key))
+                    stopped_since_s.setdefault(task.key, player.now_s)
+                elif task.key in stopped_since_s:
+                    context.stopped_s.append(
+                        player.now_s - stopped_since_s.pop(task.key)
+                    )
 
-    came_s = player.now_s
+    begun_at_s = player.now_s
     count = 0
-    while player.now_s < came_s + for_s:
-        if player.now_s >= came_s + count / per_s:
+    while player.now_s < begun_at_s + for_s:
+        if player.now_s >= begun_at_s + count / per_s:
             player.submit(f"urgent{count}", URGENT, step(tasks, cores * 1000), 1.0)
             count += 1
         player.tick()
         watch(player)
-    # Those that are still away count with the time that they have been.
-    context.away_s += [player.now_s - since_s for since_s in away_since_s.values()]
+    # Tasks that are still stopped count with the time until now.
+    context.stopped_s += [
+        player.now_s - since_s for since_s in stopped_since_s.values()
+    ]
 
 
-@then("no lasting task was away for longer than {most_s:g} s")
-def not_away_long(context, most_s):
-    longest_s = max(context.away_s, default=0.0)
+@then("no lasting task was stopped for longer than {most_s:g} s")
+def not_stopped_long(context, most_s):
+    longest_s = max(context.stopped_s, default=0.0)
     assert longest_s <= most_s, longest_s
 
 
-@then("lasting tasks made room for urgent jobs")
-def made_room(context):
-    assert context.away_s
+@then("lasting tasks were preempted for urgent jobs")
+def lasting_preempted(context):
+    assert context.stopped_s
 
 
 VIEWS = {
--- a/features/support/cell_player.py
+++ b/features/support/cell_player.py
@@ -1,4 +1,4 @@
-"""Play a load against the scheduler alone: no instance, no store, no network."""
+"""Run a load against the scheduler alone: no instance, no store, no network."""
 
 from dataclasses import dataclass, field, replace
 
@@ -23,7 +23,7 @@
 
 @dataclass
 class Player:
-    """A cell whose workers do exactly what they are told."""
+    """A scheduler with simulated workers that carry out every order."""
 
     now_s: float = 100.0
     cell: Scheduler = field(default_factory=lambda: Scheduler(CellSettings()))
@@ -33,10 +33,10 @@
     stops: list[tuple[float, Run]] = field(default_factory=list)
     finished_s: dict[str, float] = field(default_factory=dict)
     notes: list[tuple[float, LogEntry]] = field(default_factory=list)
-    # The workers that the service of advice allows; without it, it does not answer.
+    # The workers that the advice service allows; if None, it does not answer.
     allowed: set[str] | None = None
-    # How often a worker was replaced.
-    lives: int = 0
+    # Number of workers that were replaced.
+    replacements: int = 0
 
     def __post_init__(self):
         self.cell.log = lambda log: self.notes.append((self.now_s, log))
@@ -52,11 +52,11 @@
         self._report()
 
     def replace_worker(self, worker_id):
-        """Let a worker that went down be back under another id."""
+        """Replace a worker that went down by one with another id."""
         listing = self.cell.workers[worker_id].listing
         self.cell.worker_ended(worker_id, self.now_s, "replaced")
-        self.lives += 1
-        name = f"w{self.lives}+"
+        self.replacements += 1
+        name = f"w{self.replacements}+"
         self.cell.list_worker(replace(listing, worker_id=name), self.now_s)
         self.ends[name] = []
         self._report()
@@ -67,7 +67,7 @@
         self.cell.add_job(job, None, self.now_s, self.now_s)
 
     def tick(self):
-        """Let a tenth of a second pass."""
+        """Advance the time by a tenth of a second."""
         decision = self.cell.decide(self.now_s, self.now_s)
         for run in decision.starts:
             run.phase = RunPhase.SENDING
@@ -137,7 +137,7 @@
             self.cell.lease_deadline(name, self.now_s)
 
     def on_time(self, prefix, objective_s, submitted_s):
-        """Count the jobs of a kind that were done within their objective."""
+        """Count the jobs with an id prefix that were done within their objective."""
         return sum(
             1
             for job_id, at_s in self.finished_s.items()
@@ -150,7 +150,7 @@
 
 
 def prepared(context):
-    """Make a player of what the scenario has set up."""
+    """Return a player on which the setup of the scenario has been run."""
     player = Player()
     for act in context.setup:
         act(player)
--- a/features/support/cell_scene.py
+++ b/features/support/cell_scene.py
@@ -1,4 +1,4 @@
-"""Play a cell in simulated time from the steps of a scenario."""
+"""Run a cell in simulated time from the steps of a scenario."""
 
 import asyncio
 
@@ -19,7 +19,7 @@
 
 
 def act(context, change, *arguments):
-    """Change a stand-in at a moment of the cell's time."""
+    """Apply a change to a simulated component in the cell's event loop."""
 
     async def change_now():
         change(*arguments)
--- a/features/support/cell_walk.py
+++ b/features/support/cell_walk.py
@@ -1,4 +1,4 @@
-"""Walk a cell through random faults and load, drawn from one seed."""
+"""Run a cell under random load and random faults, drawn from one seed."""
 
 import asyncio
 from random import Random
@@ -20,7 +20,7 @@
 
 
 async def build(world, instances, workers):
-    """Start a world and let it settle."""
+    """Start the instances and workers of a world, and wait until they have settled."""
     world.configure(URGENT, BATCH)
     for number in range(workers):
         world.add_worker(f"w{number}", data_centre=f"dc-{1 + number % DATA_CENTRES}")
@@ -54,7 +54,7 @@
         await world.cancel(job_id, via)
 
 
-async def _kill(world, random):
+async def _restart_instance(world, random):
     if len(world.instances) < 2:
         return
     name = random.choice(sorted(world.instances))
@@ -63,7 +63,7 @@
     world.start_instance(name)
 
 
-async def _kill_holder(world, random):
+async def _restart_holder(world, random):
     name = world.holder()
     if name is None or len(world.instances) < 2:
         return
@@ -72,7 +72,7 @@
     world.start_instance(name)
 
 
-async def _store(world, random):
+async def _fail_store(world, random):
     kind = random.choice([f for f in StoreFault if f is not StoreFault.NONE])
     who = random.choice(["", world.holder() or "", *sorted(world.instances)])
     world.store.faults[who] = kind
@@ -80,14 +80,14 @@
     world.store.faults.pop(who, None)
 
 
-async def _orders(world, random):
+async def _lose_orders(world, random):
     world.faults.late_ratio = random.uniform(0, 0.1)
     world.faults.lost_ratio = random.uniform(0, 0.2)
     await asyncio.sleep(random.uniform(1, 5))
     world.faults.late_ratio = world.faults.lost_ratio = 0.0
 
 
-async def _cut(world, random):
+async def _cut_connections(world, random):
     names = sorted(world.workers)
     pairs = {(i, w) for i in world.instances for w in random.sample(names, 2)}
     world.faults.partitioned |= pairs
@@ -99,7 +99,7 @@
     world.store.forget_history()
 
 
-async def _flap(world, random):
+async def _relist_worker(world, random):
     name = random.choice(sorted(world.workers))
     world.unlist_worker(name)
     await asyncio.sleep(random.uniform(1, 6))
@@ -107,7 +107,7 @@
         world.list_worker(world.workers[name])
 
 
-async def _crash(world, random):
+async def _lose_worker(world, random):
     alive = [name for name, w in world.workers.items() if w.alive]
     if len(alive) <= WORKERS - 2:
         return
@@ -117,8 +117,8 @@
     world.unlist_worker(name)
 
 
-async def _unwell(world, random):
-    """Let workers lose answers, then refuse what is sent again, one after another."""
+async def _refuse_orders(world, random):
+    """Make workers lose answers, then refuse what is sent again, one by one."""
     for _ in range(4):
         worker = world.workers[random.choice(sorted(world.workers))]
         world.faults.lost_ratio = random.uniform(0, 0.3)
@@ -130,7 +130,7 @@
 
 
 async def _resize(world, random):
-    """Let a worker hold less for a while."""
+    """Reduce the capacity of a worker for a while."""
     alive = sorted(name for name, w in world.workers.items() if w.alive)
     name = random.choice(alive)
     whole = world.workers[name].listing.capacity.cpu_millis
@@ -140,8 +140,8 @@
         world.resize_worker(name, whole)
 
 
-async def _crashing(world, random):
-    """Hand in a job of which a task crashes its workers, at once or after a while."""
+async def _submit_crashing_job(world, random):
+    """Submit a job with a task that crashes its workers, at once or after a while."""
     job_id = f"{len(world.crashing):08x}".rjust(16, "f")
     tasks = random.randint(1, 4)
     key = TaskKey(job_id, 0, 0, random.randrange(tasks))
@@ -151,24 +151,40 @@
 
 
 async def _evacuate(world, random):
-    """Let nothing start in a data centre for a while."""
+    """Evacuate a data centre for a while: nothing may start there."""
     name = f"dc-{random.randint(1, DATA_CENTRES)}"
     world.evacuate(name)
     await asyncio.sleep(random.uniform(1, 15))
     world.end_evacuation(name)
 
 
-FAULTS = [_kill, _kill_holder, _store, _orders, _cut, _compact, _flap, _crash]
-# Workers that refuse orders as often as all of two other faults.
-FAULTS_UNWELL = [*FAULTS, _unwell, _unwell]
-# Workers that shrink, and tasks that crash them, as often as all of four others.
-FAULTS_BREAKING = [*FAULTS, _resize, _resize, _crashing, _crashing]
-# Data centres that are evacuated as often as all of four others.
-FAULTS_EVACUATING = [*FAULTS, _evacuate, _evacuate, _resize, _crashing]
+FAULTS = [
+    _restart_instance,
+    _restart_holder,
+    _fail_store,
+    _lose_orders,
+    _cut_connections,
+    _compact,
+    _relist_worker,
+    _lose_worker,
+]
+# Workers refuse orders as often as two other faults occur together.
+FAULTS_REFUSING = [*FAULTS, _refuse_orders, _refuse_orders]
+# Workers shrink, and tasks crash them, as often as four other faults together.
+FAULTS_BREAKING = [
+    *FAULTS,
+    _resize,
+    _resize,
+    _submit_crashing_job,
+    _submit_crashing_job,
+]
+# Data centres are evacuated, workers shrink and tasks crash them, as often as four
+# other faults together.
+FAULTS_EVACUATING = [*FAULTS, _evacuate, _evacuate, _resize, _submit_crashing_job]
 
 
 async def walk(world, faults=FAULTS):
-    """Load a world and break it in several places at a time; let it recover."""
+    """Run a world under load and several faults at a time, then let it recover."""
     random = Random(world.seed)
     await build(world, INSTANCES, WORKERS)
     load = asyncio.create_task(_load(world, random))
@@ -185,9 +201,9 @@
 
 def given_up(world):
     """
-    Return the jobs that were given up for crashes and have no task that crashes.
+    Return the jobs that failed because of crashes but have no crashing task.
 
-    A job whose attempts were used up is not among them.
+    Jobs whose attempts are used up are excluded.
     """
     cell = world.instances[world.holder()].holder.cell
     crashing = {key.job_id for key in world.crashing}
@@ -196,16 +212,16 @@
         for job_id, state in cell.jobs.items()
         if state.status is JobStatus.FAILED
         and job_id not in crashing
-        and not _used_up(state)
+        and not _attempts_used_up(state)
     ]
 
 
-def _used_up(state):
+def _attempts_used_up(state):
     limit = state.job.queue.attempts_max
     tasks = (t for steps in state.occurrences.values() for s in steps for t in s.tasks)
     return any(len(task.failed_runs) >= limit for task in tasks)
 
 
 def new_world(seed):
-    """Return the world of a seed; in every other one instances relay for each other."""
+    """Return the world of a seed; with even seeds, instances relay for each other."""
     return World(seed, work_s=1.5, fail_ratio=0.02, relays=seed % 2 == 0)
--- a/features/support/cell_walks.py
+++ b/features/support/cell_walks.py
@@ -1,4 +1,4 @@
-"""Walk cells through many seeds: ``python -m support.cell_walks FIRST COUNT``."""
+"""Test cells with many random seeds: ``python -m support.cell_walks FIRST COUNT``."""
 
 import asyncio
 import sys
@@ -25,16 +25,16 @@
     raise structlog.DropEvent
 
 
-def one(seed):
-    """Play one seed; return it with the broken promises and the open jobs."""
+def walk_seed(seed):
+    """Simulate one seed; return it with the broken promises and unfinished jobs."""
     structlog.configure(processors=[_drop])
     loop = VirtualLoop()
     asyncio.set_event_loop(loop)
 
-    async def go():
+    async def walk_and_check():
         world = new_world(seed)
-        # In every third walk workers shrink, and tasks crash them; in every other third
-        # data centres are evacuated besides.
+        # In a third of the walks workers shrink and tasks crash them; in another third
+        # data centres are evacuated as well.
         await walk(world, (FAULTS_BREAKING, FAULTS, FAULTS_EVACUATING)[seed % 3])
         wrong = [f"{job_id} was given up" for job_id in given_up(world)]
         states = {name: await world.status(name) for name in world.accepted}
@@ -46,18 +46,18 @@
         ]
         return (world.checker.broken + wrong)[:3], open_[:3]
 
-    return seed, *loop.run_until_complete(go())
+    return seed, *loop.run_until_complete(walk_and_check())
 
 
 def main(first, count):
-    bad = 0
+    failed_count = 0
     with ProcessPoolExecutor(PROCESSES) as pool:
-        for seed, broken, open_ in pool.map(one, range(first, first + count)):
+        for seed, broken, open_ in pool.map(walk_seed, range(first, first + count)):
             if broken or open_:
-                bad += 1
+                failed_count += 1
                 print(f"seed {seed}: broken {broken}, open {open_}")
-    print(f"{count} walks of cells, {bad} broke a promise or left a job open")
-    return 1 if bad else 0
+    print(f"{count} walks of cells, {failed_count} broke a promise or left a job open")
+    return 1 if failed_count else 0
 
 
 if __name__ == "__main__":
