--- a/features/configuration.feature
+++ b/features/configuration.feature
@@ -1,11 +1,12 @@
-Feature: The configuration goes forward only
-  The pure part, driven record by record.
+Feature: The configuration never reverts to an older state
+  The configuration's state machine, without I/O, applies one record at a time. A
+  filled rack is one whose drain has ended.
 
-  # What a user sees: a drained rack fills again by itself.
-  # Order: a lagging peer or a repeated read delivers an old record once more.
-  Scenario Outline: An old record that comes again <when> changes nothing
+  # Guards against a drained rack that gets tasks again although nobody ended the drain:
+  # a lagging peer or a repeated read delivers an old record once more.
+  Scenario Outline: An old record that is delivered again <when> changes nothing
     Given a configuration with a rack drained at 0, filled at 1 and drained at 2
-    When the record of offset <offset> comes again
+    When the record of offset <offset> is delivered again
     Then it is stale, and the rack is drained at offset 2
 
     Examples:
@@ -36,7 +37,8 @@
       | 3       | filled  | 3      |
 
   Scenario Outline: Thresholds that an operator sets: <what>
-    # A slip of the unit would let leases live for hours; every error is named at once.
+    # A value in the wrong unit would let leases last for hours. All errors are reported
+    # at once.
     When thresholds are read from <text>
     Then <outcome>
 
--- a/features/coordination.feature
+++ b/features/coordination.feature
@@ -1,10 +1,11 @@
-Feature: Ownership, state and configuration survive what the brief lists
-  Real entry instances in virtual time. Lease 4 s, authority 1 s, suspicion 0.8 s.
-
-  # What a user sees: an archive job whose finished tasks run a second time.
-  # Order: the owner starts tasks, is cut off from peers and log; the tasks finish
-  # and only the owner hears it; a peer succeeds it.
-  # Cause it would have: that all leases are over does not say how they ended.
+Feature: Ownership, state and configuration survive crashes, pauses and partitions
+  Real entry instances in virtual time. Leases last 4 s, an owner's authority lasts 1 s,
+  and a peer is suspected after 0.8 s of silence.
+
+  # Guards against an archive job whose finished tasks run a second time: the owner
+  # starts tasks and is cut off from its peers and the log; the tasks finish and only
+  # the owner learns of it; a peer takes the job over. That all leases have expired does
+  # not tell how the tasks ended.
   Scenario: Finished work of an owner that was cut off is not run again
     Given 3 entry instances and 4 workers
     And a job "archive" of 8 tasks of 2 s is submitted to "e0"
@@ -15,9 +16,9 @@
     Then the job "archive" is done within 60 s
     And no promise was broken
 
-  # What a user sees: a task that runs on two workers.
-  # Order: the owner is paused with orders in hand; a peer succeeds it and starts
-  # the tasks again; the owner wakes up and goes on where it was.
+  # Guards against a task that runs on two workers: the owner is paused with orders not
+  # yet sent; a peer takes its jobs over and starts the tasks again; the owner resumes
+  # and goes on where it was.
   Scenario Outline: An owner that is paused for <pause_s> s does no harm
     Given 3 entry instances and 4 workers
     And a job "archive" of 40 tasks of 2 s is submitted to "e0"
@@ -61,7 +62,7 @@
     Then the job "archive" is done within 90 s
     And no promise was broken
 
-  Scenario: A worker that falls silent and leaves the list loses its tasks to others
+  Scenario: A worker that dies and leaves the list loses its tasks to others
     Given 3 entry instances and 4 workers
     And a job "archive" of 24 tasks of 3 s is submitted to "e0"
     When 1 s pass
@@ -69,7 +70,7 @@
     Then the job "archive" is done within 60 s
     And no promise was broken
 
-  # What a user sees: work that was accepted stops with the log service.
+  # Guards against accepted work that stops when the log service does.
   Scenario: The log service is down for minutes
     Given 3 entry instances and 4 workers
     And a service "checks" that is "exclusive"
@@ -96,11 +97,10 @@
     Then the job "archive" is done within 60 s
     And no promise was broken
 
-  # What a user sees: reports of a finished job that are made a second time.
-  # Order: tasks finish while the log is down; their owner dies before their ends
-  # are recorded.
-  # Cause it would have: the workers were told to forget the ends too early.
-  Scenario: An owner dies with ends that nobody has recorded
+  # Guards against a finished job's reports that are made a second time: tasks finish
+  # while the log is down, and their owner dies before their ends are recorded. The
+  # workers must not be told to forget the ends before that.
+  Scenario: An owner dies before the ends of its tasks are recorded
     Given 3 entry instances and 4 workers
     And a job "archive" of 12 tasks of 1 s is submitted to "e0"
     When 0.5 s pass
@@ -119,7 +119,7 @@
     Then the job "archive" is done within 30 s
     And no promise was broken
 
-  Scenario: A plan is carried out though the instance that took it dies
+  Scenario: A plan is carried out although the instance that confirmed it dies
     Given 3 entry instances and 4 workers
     And a job "archive" of 16 tasks of 9 s is submitted to "e0"
     And all 16 attempts run
@@ -150,9 +150,9 @@
     And 3 s pass
     Then a request through "e2" is not run for "no_configuration"
 
-  # What a user sees: a drained rack fills again by itself.
-  # Order: an instance misses changes, its peers go on, then all meet again.
-  Scenario: A configuration never reverts when an instance was away
+  # Guards against a drained rack that gets tasks again although nobody ended the drain:
+  # an instance misses changes, its peers go on, then all are connected again.
+  Scenario: A configuration never reverts after an instance was cut off
     Given 3 entry instances and 4 workers
     And a service "checks" that is "exclusive"
     When "e2" is cut off from its peers and from the log
@@ -164,25 +164,25 @@
     Then all instances have the same configuration
     And the rack "r0" is drained everywhere
 
-  # What a user sees: after a month a new instance knows only the last changes.
-  # Order: more changes than the log keeps; then an instance starts.
-  # What a user sees: a long archive job that vanishes after a month.
-  # Order: a long job is accepted; more records follow than the log keeps; then
-  # every instance is replaced.
-  Scenario: A long job outlives the log's memory of its acceptance
+  # Guards against a long archive job that vanishes after a month: a long job is
+  # accepted, more records follow than the log keeps, and then every instance is
+  # replaced.
+  Scenario: A long job survives after the log has dropped its acceptance
     Given 3 entry instances and 4 workers
     And the log keeps only 30 records of each stream
     And a job "archive" of 3 tasks of 60 s is submitted to "e0"
     When 60 short jobs are submitted in turn
-    Then the log has forgotten that "archive" was accepted
+    Then the log no longer has the acceptance of "archive"
     When all instances die
     And 2 s pass
     And all instances start anew
     Then the job "archive" of 3 tasks is done within 200 s
     And no promise was broken
 
+  # Guards against a new instance that knows only the last changes after a month: more
+  # changes are made than the log keeps, and then an instance starts.
   Scenario: A new instance reads the snapshot when old records have expired
-    Given entry instances that sum up each 10 records, and a log that keeps 25
+    Given entry instances that snapshot every 10 records, and a log that keeps 25
     And a service "checks" that is "exclusive"
     When a limit is changed 60 times
     And instance "e2" dies
--- a/features/jobs.feature
+++ b/features/jobs.feature
@@ -1,7 +1,7 @@
 Feature: Batch work under pressure
-  Cancellations, quotas, sick workers, tasks that fail, evictions.
+  Cancellations, quotas, faulty workers, failing tasks and evictions.
 
-  Scenario: A wave of cancellations frees everything and starves nobody
+  Scenario: A wave of cancellations frees all capacity and starves no other job
     Given 3 entry instances and 4 workers
     And 30 jobs of 4 tasks of 60 s are submitted
     And a job "archive" of 8 tasks of 1 s is submitted to "e0"
@@ -12,12 +12,13 @@
 
   Scenario: A team's tasks never hold more than its quota
     Given 3 entry instances and 4 workers
-    And a quota of 6000 millis of processor for the team "archive"
+    And a quota of 6000 CPU millis for the team "archive"
     When a job "archive" of 20 tasks of 1 s is submitted to "e0"
     Then at no moment do more than 6 of its tasks run
     And the job "archive" is done within 60 s
 
-  # What a user sees: a worker that fails everything at once draws all the work.
+  # Guards against a worker that fails everything at once and therefore attracts all the
+  # work.
   Scenario: A worker that fails whatever it starts stops getting work
     Given 3 entry instances and 4 workers
     And the worker "w1" fails whatever it starts
@@ -32,10 +33,10 @@
     Then the job "broken" is over with 2 tasks "failed" within 60 s
     And at most 6 attempts began
 
-  # What a user sees: work that is lost again and again, on one worker after the other.
-  # Order: a task brings down its worker as it starts; the worker is back, without it;
-  # the owner finds the attempt gone and starts the next.
-  # Cause it had: only attempts that the worker says have failed were counted.
+  # Guards against work that is lost again and again, on one worker after the other: a
+  # task crashes its worker as it starts; the worker is back without the task; the owner
+  # finds the attempt gone and starts the next. Counting only the attempts that a worker
+  # reports as failed misses these.
   Scenario: A task that crashes its workers ends as failed after four attempts
     Given 3 entry instances and 4 workers
     And the first task of the job "broken" crashes its workers
@@ -44,12 +45,12 @@
     And at most 4 attempts began
     And no promise was broken
 
-  # What a user sees: the same, for as long as instances come and go.
-  # Order: the owner dies between the attempts; its successor takes the job over.
-  # Cause it had: how often a task had failed was known to its owner alone.
-  # A worker whose decider died with the owner is asked by the next one what it has, and
-  # has nothing: that an attempt went with it, nobody can tell. One more for each owner.
-  Scenario Outline: What is known of a task that <does> survives its owners
+  # Guards against the same failure while instances come and go: the owner dies between
+  # the attempts, and its successor takes the job over. The number of failures must not
+  # be known to the owner alone. The next decider asks the workers of the dead owner's
+  # deciders for their inventory, which is empty: nobody can tell that an attempt was
+  # lost with such a worker. That allows one more attempt for each owner.
+  Scenario Outline: The failures of a task that <does> outlive its owners
     Given 3 entry instances and 4 workers
     And <what>
     When a job "broken" of 1 tasks of 1 s is submitted to "e0"
@@ -63,17 +64,17 @@
       | crashes its workers   | the first task of the job "broken" crashes its workers | 6    |
       | fails on each worker  | every worker fails whatever it starts                  | 3    |
 
-  # What a user sees: a long job that fails in a data centre whose workers are now and then
-  # replaced, though each attempt had run for long.
+  # Guards against a long job that fails in a data centre whose workers are replaced now
+  # and then, although each attempt ran for long.
   Scenario: Attempts that ran for long before their worker was lost do not count
     Given 3 entry instances and 4 workers
     And a job "archive" of 1 tasks of 60 s is submitted to "e0"
     When its worker loses everything after each of 5 attempts has run for 32 s
     Then the job "archive" is done within 90 s
 
-  # What a user sees: a service that was added and confirmed answers nothing.
-  # Order: its workers are full of batch tasks; those are evicted.
-  # Cause it had: its slots were looked at again only at the next change.
+  # Guards against a service that is added and confirmed and answers no request: its
+  # workers are full of batch tasks; those are evicted, but its slots are not considered
+  # again before the next change.
   Scenario: Room for a service is made by evicting the cheapest tasks first
     Given 2 entry instances and 2 workers
     And 1 s pass
@@ -85,10 +86,10 @@
     And none of the costly tasks was stopped
     And no promise was broken
 
-  # What a user sees: a worker that runs out of memory after a service was removed.
-  # Order: requests of a service are in flight; the service is removed; batch work
-  # is waiting for its room. The worker itself does not check.
-  # Cause it had: the room of a removed service was free at once.
+  # Guards against a worker that runs out of memory after a service is removed: requests
+  # of the service are in flight, the service is removed, and batch work is waiting for
+  # its capacity. The worker itself does not check. The capacity of a removed service
+  # must not become free at once.
   Scenario Outline: A removed service keeps its room while requests are in flight
     Given 2 entry instances and 2 workers
     And a service "checks" that fills its workers
@@ -104,10 +105,9 @@
       | 1 s pass            |
       | instance "e1" dies  |
 
-  # What a user sees: a task that is said to run and never ends.
-  # Order: the start, or its answer, is lost; renewals go on.
-  # Cause it had: each renewal put off the moment at which a lost start is settled,
-  # and a successor was told that the attempt ran.
+  # Guards against a task that is reported as running and never ends: the start, or its
+  # answer, is lost, and renewals go on. A renewal must not postpone the moment at which
+  # a lost start is settled, and a successor must not be told that the attempt runs.
   Scenario Outline: A start that is <fault> is settled soon and runs once
     Given 2 entry instances and 2 workers
     And 1 s pass
@@ -122,11 +122,10 @@
       | lost on the way |
       | answer lost     |
 
-  # What a user sees: a task that runs on two workers.
-  # Order: the answer to a start is lost; the start is repeated, and the repeat is
-  # turned down or cannot be sent.
-  # Cause it had: the answer to the repeat was taken for one to the first start.
-  Scenario Outline: A repeated start that is <repeat> says nothing of the first
+  # Guards against a task that runs on two workers: the answer to a start is lost, the
+  # start is repeated, and the repeat is refused or cannot be sent. The answer to the
+  # repeat must not be taken for an answer to the first start.
+  Scenario Outline: A repeated start that is <repeat> does not settle the first
     Given 2 entry instances and 2 workers
     And 1 s pass
     When the next start is answer lost
@@ -141,11 +140,10 @@
       | not sent |
       | refused  |
 
-  # What a user sees: a finished task that runs again on the same worker.
-  # Order: a start's answer is lost and the start repeated; the task ends and its
-  # end is acknowledged; the repeat comes in.
-  # Cause it had: the worker had been told to forget the attempt.
-  Scenario: A repeated start that comes in after the end starts nothing
+  # Guards against a finished task that runs again on the same worker: a start's answer
+  # is lost and the start repeated; the task ends and its end is acknowledged; then the
+  # repeat arrives. The worker must not be told to forget the attempt before that.
+  Scenario: A repeated start that arrives after the end starts nothing
     Given 2 entry instances and 2 workers
     And 1 s pass
     When the next start is answer lost
@@ -156,9 +154,9 @@
     And at most 1 attempts began
     And no promise was broken
 
-  # What a user would see: a cancelled task that runs after all.
-  # Order: a start is lost; the job is cancelled; the worker refuses the stop.
-  Scenario: A job that is cancelled while its start is unsure never runs
+  # Guards against a cancelled task that runs after all: a start is lost, the job is
+  # cancelled, and the worker refuses the stop.
+  Scenario: A job that is cancelled while its start is in doubt never runs
     Given 2 entry instances and 2 workers
     And 1 s pass
     When the next start is lost on the way
@@ -167,10 +165,10 @@
     Then the job "archive" is over with 1 tasks "cancelled" within 10 s
     And no attempt began
 
-  # What a user sees: a machine that is overrun by what is started on it.
-  # Order: a worker holds less than before and the list says so; jobs are handed in.
-  # Cause it had: its decider counted with what the worker held when it was claimed.
-  Scenario Outline: A worker that shrinks gets nothing beyond what it holds, <then>
+  # Guards against a worker that is overloaded by what is started on it: a worker's
+  # capacity becomes smaller, the instance list says so, and jobs are submitted. Its
+  # decider must not count with the capacity that the worker had when it was claimed.
+  Scenario Outline: A worker that shrinks gets nothing beyond its capacity, <then>
     Given 2 entry instances and 2 workers
     And 1 s pass
     When the worker "w0" shrinks to 2 cores
@@ -184,9 +182,9 @@
       | 1 s pass                    |
       | instance "e1" dies          |
 
-  # What a user sees: the same, while requests keep the slots of a service in use.
-  # Order: the slots of a service fill a worker that shrinks below them.
-  # Cause it had: slots that were open stayed open.
+  # Guards against the same failure while requests keep the slots of a service in use:
+  # the slots fill a worker whose capacity shrinks below them. Slots that are open must
+  # not stay open.
   Scenario: A worker that shrinks below its slots takes no more requests
     Given 2 entry instances and 2 workers
     And a service "checks" that fills its workers
@@ -197,7 +195,7 @@
     When the worker "w0" grows to 8 cores
     Then its slots are open again within 3 s
 
-  # What a user sees: an urgent job that waits behind a wave of batch work.
+  # Guards against an urgent job that waits behind a wave of batch work.
   Scenario: An urgent job starts within 2.4 s on a full data centre
     Given 3 entry instances and 4 workers
     And 1 s pass
--- a/features/model.feature
+++ b/features/model.feature
@@ -1,7 +1,7 @@
 Feature: The specifications of the core protocol
-  An explicit-state checker explores every interleaving of a small specification.
-  With all guards every promise holds; without any single one it finds a trace
-  that breaks a promise, so no guard is there for nothing.
+  An explicit-state model checker explores every interleaving of a small specification.
+  The steps call its invariants promises. With all guards every invariant holds; without
+  any single one the checker finds a counterexample, so every guard is necessary.
 
   Scenario Outline: All guards of <specification> together are enough
     When the checker explores "<specification>" with every guard
--- a/features/orders.feature
+++ b/features/orders.feature
@@ -1,21 +1,22 @@
-Feature: No order leaves work behind, whatever became of it
-  Starts and stops that are lost, late, refused or ignored, holders that are removed before
-  theirs are carried out, and runs that the cell does not know.
+Feature: No order leaves running tasks or reserved capacity behind
+  Orders are the starts and stops that the holder sends to workers. They are lost, late,
+  refused or ignored, the holder is removed before its orders are carried out, or a
+  worker runs a task that the cell does not know.
 
   Scenario: A cancelled job's runs end under the next holder
-    # A user cancels, gets the answer, and the task works on. The holder dies with the
-    # cancellation stored and the stop not sent. The next holder ordered the stop before it
-    # knew the worker, dropped the order, and never gave it again.
+    # Guards against tasks that run on after the user's cancellation was confirmed: the
+    # holder dies after storing the cancellation and before sending the stops. The next
+    # holder orders a stop before it knows the worker, drops it and never repeats it.
     Given a cell of 3 instances and 4 workers
     And a lasting job "aa03" of 4 tasks is at work
     When the holder dies
     And the job "aa03" is cancelled at once
-    Then nothing of "aa03" runs 6 s later
+    Then no task of "aa03" runs 6 s later
     And no promise of the cell was broken
 
   Scenario: Orders that are carried out late do no harm
-    # A user would see a task run twice: a start without an answer is given up, the task
-    # starts elsewhere, and four seconds later the first order is carried out.
+    # Guards against a task that runs twice: a start without an answer is given up, the
+    # task starts elsewhere, and four seconds later the first start is carried out.
     Given a cell of 3 instances and 4 workers
     And one order in ten is carried out 4 s late
     When 6 jobs of 2 steps of 6 tasks are handed in
@@ -23,12 +24,13 @@
     Then all jobs are shown as completed within 40 s
     And no promise of the cell was broken
 
-  Scenario: A start whose fate is open is settled although the stop is refused
-    # A check waits for good beside free workers. Its start got no answer, the next try was
-    # refused, so the run is to be stopped before it is tried elsewhere, and the worker
-    # refuses that too. It never lists the run, and nobody tells it again.
+  Scenario: A start without an answer is settled although the stop is refused
+    # Guards against a task that waits forever beside free workers. Its start gets no
+    # answer and the repeated start is refused, so the run has to be stopped before the
+    # task starts elsewhere. The worker refuses the stop too. It never reports the run,
+    # so no report triggers another stop.
     Given a cell of 3 instances and 4 workers
-    When a job "ac08" of 1 steps of 4 tasks is handed in while no worker is reached
+    When a job "ac08" of 1 steps of 4 tasks is handed in while no worker is reachable
     And 0.3 s pass in the cell
     And the workers are reached again but carry out no order
     And 1.5 s pass in the cell
@@ -36,12 +38,12 @@
     Then the job "ac08" is shown as completed within 6 s
     And no promise of the cell was broken
 
-  Scenario: Room comes back from a run that was cancelled while its worker was cut off
-    # Jobs wait beside empty workers. A run was to be stopped before its start was answered,
-    # every try of the stop was lost, and its room stays booked for as long as the worker's
-    # lease is renewed.
+  Scenario: Capacity is released after a run was cancelled while its worker was cut off
+    # Guards against jobs that wait beside empty workers. A run has to be stopped before
+    # its start is answered, every attempt to send the stop is lost, and the run's
+    # capacity stays reserved for as long as the worker's lease is renewed.
     Given a cell of 3 instances and 4 workers
-    When a job "ac09" of 1 steps of 4 tasks is handed in while no worker is reached
+    When a job "ac09" of 1 steps of 4 tasks is handed in while no worker is reachable
     And 0.3 s pass in the cell
     And the job "ac09" is cancelled at once
     And 5.5 s pass in the cell
@@ -51,8 +53,9 @@
     And no promise of the cell was broken
 
   Scenario Outline: A cancelled job's late start ends soon: starts 4 s late, stops <stops>
-    # A user cancels, and a task of the job begins seconds later and works on: its start
-    # had no answer and was carried out late, and so was, or never, the stop.
+    # Guards against a task of a cancelled job that starts seconds after the
+    # cancellation and runs on: its start gets no answer and is carried out late, and
+    # the stop is carried out late as well, or never.
     Given a cell of 3 instances and 4 workers
     When starts are carried out 4 s late from now on
     And a lasting job "ad01" of 4 tasks is handed in
@@ -61,11 +64,11 @@
     And the job "ad01" is cancelled at once
     And <lost_s> s pass in the cell
     And orders are carried out at once again
-    Then nothing of "ad01" runs 9 s later
+    Then no task of "ad01" runs 9 s later
     And no task of a cancelled job ran on
     And <runs> runs of "ad01" began late
     And no promise of the cell was broken
-    And no room is taken on any worker
+    And no capacity is reserved on any worker
 
     Examples:
       | stops                | lost_s | runs |
@@ -75,8 +78,9 @@
       | are lost             | 2      | 0    |
 
   Scenario Outline: A removed holder's late start ends soon: cancelled <when>
-    # A user cancels, and a task works on whose start the holder sent just before its
-    # machine was removed. The worker carries it out late, and the next holder has to end it.
+    # Guards against a task of a cancelled job that runs on. The holder sends the start
+    # just before its machine is removed. The worker carries it out late, and the next
+    # holder has to end the run.
     Given a cell of 3 instances and 4 workers
     When starts are carried out 1.9 s late from now on
     And a lasting job "ad02" of 4 tasks is handed in
@@ -84,12 +88,12 @@
     And the holder dies
     And <before_s> s pass in the cell
     And the job "ad02" is cancelled at once
-    Then nothing of "ad02" runs 9 s later
+    Then no task of "ad02" runs 9 s later
     And another instance holds the cell within 1 s
     And 4 runs of "ad02" began late
     And no task of a cancelled job ran on
     And no promise of the cell was broken
-    And no room is taken on any worker
+    And no capacity is reserved on any worker
 
     Examples:
       | when                        | before_s |
@@ -97,9 +101,10 @@
       | after the next one begins   | 4        |
 
   Scenario: A removed holder's cancellation is carried out by the next one
-    # A user cancels, and a task works on: the holder stored that the job is cancelled, its
-    # stops were lost, and it was removed. To the next holder nothing is left to cancel; that
-    # the worker reports a run of an ended job must be enough.
+    # Guards against a task of a cancelled job that runs on: the holder stores the
+    # cancellation, its stops are lost, and it is removed. For the next holder the job
+    # is already cancelled, so a worker's report of a run of an ended job has to be
+    # enough to stop the run.
     Given a cell of 3 instances and 4 workers
     When starts are carried out 1.9 s late from now on
     And a lasting job "ad04" of 4 tasks is handed in
@@ -109,37 +114,38 @@
     And 0.3 s pass in the cell
     And the holder dies
     And orders are carried out at once again
-    Then nothing of "ad04" runs 9 s later
+    Then no task of "ad04" runs 9 s later
     And 4 runs of "ad04" began late
     And no task of a cancelled job ran on
     And no promise of the cell was broken
 
   Scenario: A stop that is lost is given again while the run is reported
-    # A user cancels, and the tasks work on for as long as their leases are renewed: every
-    # try of the stop was lost.
+    # Guards against tasks of a cancelled job that run on for as long as their leases
+    # are renewed: every attempt to send the stop is lost.
     Given a cell of 3 instances and 4 workers
     And a lasting job "ad03" of 4 tasks is at work
     When stops are lost from now on
     And the job "ad03" is cancelled at once
     And 8 s pass in the cell
     And orders are carried out at once again
-    Then nothing of "ad03" runs 1.5 s later
+    Then no task of "ad03" runs 1.5 s later
 
   Scenario: A stop that changed nothing is given again while the run is reported
-    # A user cancels, and the tasks work on for as long as their leases are renewed: the
-    # worker answered the stop and did nothing.
+    # Guards against tasks of a cancelled job that run on for as long as their leases
+    # are renewed: the worker answers the stop and does nothing.
     Given a cell of 3 instances and 4 workers
     And a lasting job "ad05" of 4 tasks is at work
     When stops are answered and ignored from now on
     And the job "ad05" is cancelled at once
     And 2 s pass in the cell
     And orders are carried out at once again
-    Then nothing of "ad05" runs 2 s later
+    Then no task of "ad05" runs 2 s later
 
-  Scenario: A stop that nobody answers leaves no room taken
-    # A user's jobs wait beside free workers. The start of a task is lost, its job is
-    # cancelled, and every try of the stop is lost as well. The worker never lists the run,
-    # so no report repeats the stop, and the run's room is kept until the holder changes.
+  Scenario: A stop that is never answered leaves no capacity reserved
+    # Guards against jobs that wait beside free workers. The start of a task is lost,
+    # its job is cancelled, and every attempt to send the stop is lost as well. The
+    # worker never reports the run, so no report triggers another stop, and the run's
+    # capacity stays reserved until the holder changes.
     Given a cell of 3 instances and 4 workers
     When starts are lost from now on
     And a lasting job "ae01" of 4 tasks is handed in
@@ -149,12 +155,12 @@
     And 7 s pass in the cell
     And orders are carried out at once again
     And 3 s pass in the cell
-    Then no room is taken on any worker
+    Then no capacity is reserved on any worker
 
   Scenario: A task whose start and stop an unwell worker refused runs again
-    # A user's watcher never runs. Its start has no answer, the second try is refused by an
-    # unwell worker, and so is the stop that is to make the first one harmless. A refused
-    # stop was not given again, and the task counted as being stopped for good.
+    # Guards against a task that never runs. Its start gets no answer, an unwell worker
+    # refuses the second attempt, and also the stop that is to make the first one
+    # harmless. If a refused stop is not repeated, the task counts as stopping forever.
     Given a cell of 3 instances and 4 workers
     When starts are lost from now on
     And a lasting job "ae02" of 4 tasks is handed in
@@ -166,13 +172,14 @@
     Then 4 tasks of "ae02" are at work within 5 s
     And no promise of the cell was broken
 
-  Scenario: A run that the cell does not know is ended and takes room
-    # A user cancels or never asked, and a task works on: no instance knows its job, so the
-    # holder left the run alone, renewed its lease with the others', and gave its room away.
-    # Shown by a run put on a worker by hand.
+  Scenario: A run that the cell does not know is ended, and its capacity is counted
+    # Guards against a task that runs although its job was cancelled or never submitted:
+    # no instance knows the job, so the holder leaves the run alone, renews its lease
+    # along with the others and gives its capacity to other tasks. The scenario starts
+    # such a run directly on a worker.
     Given a cell of 3 instances and 4 workers
     When stops are answered and ignored from now on
-    And a worker runs a task of a job that nobody knows
+    And a worker runs a task of an unknown job
     And 1 s pass in the cell
     And a job "ae03" of 1 steps of 32 tasks is handed in
     And 1 s pass in the cell
@@ -180,56 +187,59 @@
     Then that run is ended within 3 s
     And the job "ae03" is shown as completed within 15 s
     And no promise of the cell was broken
-    And no room is taken on any worker
+    And no capacity is reserved on any worker
 
   Scenario: The runs of a job that the cell has forgotten are ended
-    # A user's job is gone and its tasks work on. A job was dropped from the log while its
-    # tasks ran: the holder broke on the next report, and its successor left runs of jobs
-    # that it does not know alone. Shown by dropping the job by hand.
+    # Guards against tasks that run on although their job no longer exists. A job is
+    # dropped from the log while its tasks run: the holder fails on the next report, and
+    # its successor leaves runs of unknown jobs alone. The scenario drops the job
+    # directly.
     Given a cell of 3 instances and 4 workers
     And a lasting job "ae04" of 4 tasks is at work
     When the job "ae04" is dropped from the log
-    Then nothing of "ae04" runs 3 s later
-    And the holder is the same
-    And no room is taken on any worker
+    Then no task of "ae04" runs 3 s later
+    And the holder has not changed
+    And no capacity is reserved on any worker
 
-  Scenario: A cancelled task's earlier start ends although a newer one is booked
-    # A user cancels, and a task works on. An order that was given up is carried out after
-    # all, on the worker where the task's next run is booked and has not begun. Its stop was
-    # dropped, as only booked runs are stopped, and the next run's stop does not end it.
-    # Shown by an earlier run put on the worker by hand.
+  Scenario: A cancelled task's earlier run ends although a newer one is allocated
+    # Guards against a task of a cancelled job that runs on. A start that was given up
+    # is carried out after all, on the worker where the task's next run is allocated and
+    # has not begun. If only allocated runs are stopped, the stop of the earlier run is
+    # dropped, and the stop of the next run does not end it. The scenario starts the
+    # earlier run directly on the worker.
     Given a cell of 3 instances and 4 workers
     When starts are lost from now on
     And a lasting job "af01" of 1 tasks is handed in
     And 0.3 s pass in the cell
-    And a worker runs an earlier start of a task of "af01" beside its newest
+    And a worker runs an earlier attempt of a task of "af01" beside its newest
     And 1 s pass in the cell
     And the job "af01" is cancelled at once
     And orders are carried out at once again
     Then that run is ended within 4 s
     And no task of a cancelled job ran on
     And 3 s pass in the cell
-    And no room is taken on any worker
+    And no capacity is reserved on any worker
 
   Scenario: The next holder ends a cancelled job's runs before the first report
-    # A user cancels while the holder is being replaced, and the tasks work on. The next
-    # holder knows from the log what to stop and where, but kept the stops until the worker
-    # had reported, and its reports have no answers for a while.
+    # Guards against tasks that run on when a job is cancelled while the holder is being
+    # replaced. The next holder knows from the log what to stop and where, but holds the
+    # stops back until the worker has reported, and for a while its reports get no
+    # answer.
     Given a cell of 3 instances and 4 workers
     And a lasting job "ag01" of 4 tasks is at work
     When reports are lost from now on
     And the holder dies
     And the job "ag01" is cancelled at once
-    Then nothing of "ag01" runs 3.4 s later
+    Then no task of "ag01" runs 3.4 s later
     When orders are carried out at once again
     And 3 s pass in the cell
-    Then no room is taken on any worker
+    Then no capacity is reserved on any worker
     And no promise of the cell was broken
 
   Scenario: The next holder ends an ended job's runs before the first report
-    # A user cancels, and the tasks work on. The holder stored that the job is cancelled and
-    # was removed before its stops got through; the next one gave no stop for a job that
-    # had ended before its time, until a report listed the run.
+    # Guards against tasks of a cancelled job that run on. The holder stores the
+    # cancellation and is removed before its stops get through. The next holder sends no
+    # stop for a job that has ended early until a report lists the run.
     Given a cell of 3 instances and 4 workers
     And a lasting job "ag02" of 4 tasks is at work
     When stops are lost from now on
@@ -238,15 +248,16 @@
     And orders are carried out at once again
     And reports are lost from now on
     And the holder dies
-    Then nothing of "ag02" runs 3.4 s later
+    Then no task of "ag02" runs 3.4 s later
     When orders are carried out at once again
     And 3 s pass in the cell
-    Then no room is taken on any worker
+    Then no capacity is reserved on any worker
     And no promise of the cell was broken
 
   Scenario: Stops that get lost are repeated by one loop each
-    # A worker that answers no stop gets ever more of them: reports repeat a stop whose
-    # answer is late, and each repetition goes on until it is answered.
+    # Guards against an ever growing number of stops to a worker that answers none: each
+    # report triggers another stop while an answer is outstanding, and each of these is
+    # repeated until it is answered.
     Given a cell of 3 instances and 4 workers
     And a lasting job "ae01" of 4 tasks is at work
     When stops are lost from now on
@@ -254,4 +265,4 @@
     And 20 s pass in the cell
     Then the holder sent at most 56 stops
     When orders are carried out at once again
-    Then nothing of "ae01" runs 6 s later
+    Then no task of "ae01" runs 6 s later
--- a/features/parsers.feature
+++ b/features/parsers.feature
@@ -1,10 +1,10 @@
-Feature: Parsers take anything and never break
-  Generated input at each border: what is good comes back as it went in, and what is
-  not is refused as a value or with ValueError, never with another exception.
+Feature: Parsers accept or refuse any input and never crash
+  Input is generated for each parser: valid input survives a round trip, and invalid
+  input is refused with an error value or a ValueError, never with another exception.
 
   Scenario Outline: <parser> on generated input
     When "<parser>" is tried on generated input
-    Then it took or refused everything
+    Then it accepted or refused every input
 
     Examples:
       | parser                     |
--- a/features/processes.feature
+++ b/features/processes.feature
@@ -1,6 +1,6 @@
 Feature: The whole path as separate processes
-  Stand-ins in one process, two entry instances in two more, and the command line,
-  over loopback sockets.
+  The stand-ins for the platform run in one process and two entry instances in two more;
+  they and the command line communicate over loopback sockets.
 
   Scenario: Operators and callers use the command line, and an instance is killed
     Given the stand-ins with 4 workers, and 2 entry instances as processes
@@ -25,7 +25,7 @@
     When the command "explain nothing/0" is run
     Then it exits with 3 and prints "no task"
     When the second entry instance is killed
-    Then the first decides for all 4 workers
+    Then the first manages all 4 workers
     When the command "request checks" is run
     Then it exits with 0 and prints "digest"
     When the first entry instance gets SIGTERM
@@ -33,10 +33,11 @@
     When the command "status" is run
     Then it exits with 5 and prints "cannot reach"
 
-  # What a user sees: an instance that is told to stop twice, and what it cut off.
-  Scenario: A second SIGTERM abandons what is in flight and says so
+  # Guards against an instance that is told to stop twice and does not report the
+  # requests that it cut off.
+  Scenario: A second SIGTERM aborts requests in flight and reports it
     Given the stand-ins with 1 workers whose requests take 60 s, and one instance
-    When a request is on its way
+    When a request is in flight
     And the first entry instance gets SIGTERM
     And it still runs
     And the first entry instance gets SIGTERM
@@ -44,9 +45,9 @@
 
   Scenario: A forwarded request leaves a span for each hop
     Given the stand-ins with 2 workers, and 2 entry instances that write traces
-    When a request under a key of the first is sent to the second with a trace of its own
+    When a request under a key of the first is sent to the second with its trace context
     And both instances are stopped
-    Then the spans are caller.request, entry.forward and worker.run, each in the last
+    Then the spans caller.request, entry.forward and worker.run are nested in this order
 
   Scenario: The daemon checks and shows its settings
     When the daemon is run with "check-settings" on settings with two faults
--- a/features/random_faults.feature
+++ b/features/random_faults.feature
@@ -1,8 +1,8 @@
-Feature: Promises hold on random walks through faults
-  Real entry instances in virtual time, on fakes of the platform. Each walk kills,
-  pauses and restarts instances, cuts links one way and both ways, takes the log
-  service down or makes it lose answers, and delays, loses and repeats messages.
-  At its end everything is mended, and every accepted job must have finished.
+Feature: Invariants hold under random sequences of faults
+  Real entry instances run in virtual time on fakes of the platform. Each random walk
+  kills, pauses and restarts instances, cuts links in one or both directions, takes the
+  log service down or makes it lose answers, and delays, loses and repeats messages.
+  At the end all faults are removed, and every accepted job must finish.
 
   Scenario Outline: Walk number <seed>
     When a walk with seed <seed> is taken
--- a/features/request_faults.feature
+++ b/features/request_faults.feature
@@ -1,6 +1,7 @@
 Feature: What a caller is told when something goes wrong
-  docs/CALLERS.md holds the same table: service class, point of failure, what is
-  done and what the caller is told.
+  docs/CALLERS.md contains the same table: the service's class, the point of failure,
+  what is done and what the caller is told. The keeper of a key is the instance that
+  issued it, and the only one that may run the key's request.
 
   Scenario Outline: <repeat> request, <fault>
     Given 2 entry instances and 3 workers
@@ -28,12 +29,12 @@
       | exclusive    | answer cut short | unknown | 1    |
       | at_most_once | answer cut short | unknown | 1    |
 
-  Scenario Outline: A repeat under the same key, by way of <other>
+  Scenario Outline: A repeat under the same key, sent through <other>
     Given 3 entry instances and 3 workers
     And a service "checks" that is "at_most_once"
     When a caller sends a request under a key of "e0"
-    And the caller repeats it by way of "<other>"
-    Then both got the same whole answer and it ran 1 times
+    And the caller repeats it through "<other>"
+    Then both got the same complete answer and it ran 1 times
 
     Examples:
       | other |
@@ -41,20 +42,19 @@
       | e1    |
       | e2    |
 
-  # What a user sees: an infringement report that is sent twice.
-  # Order: the keeper runs the request and dies before the answer is out; the
-  # caller repeats it through another instance.
-  # Cause it would have: the other instance cannot know, and runs it again.
+  # Guards against an infringement report that is sent twice: the key's keeper runs the
+  # request and dies before the answer is sent; the caller repeats the request through
+  # another instance, which cannot know that it ran, and runs it again.
   Scenario: A repeat after its keeper died is unknown and not run again
     Given 3 entry instances and 3 workers
     And a service "checks" that is "at_most_once"
     When a caller sends a request under a key of "e0"
     And instance "e0" dies
     And 3 s pass
-    And the caller repeats it by way of "e1"
+    And the caller repeats it through "e1"
     Then the repeat's outcome is "unknown" for "keeper_gone" and it ran 1 times
 
-  Scenario: A key is not taken for another body
+  Scenario: A key is refused for another body
     Given 2 entry instances and 3 workers
     And a service "checks" that is "exclusive"
     When a caller sends a request under a key of "e0"
@@ -67,15 +67,15 @@
     When a caller sends a request under a forged key of "e0"
     Then the outcome is "not_run" and it ran 0 times
 
-  # What a user sees: "not run, safe to send again" for a request that ran.
-  # Order: a request runs; its key is repeated long after its deadline.
-  # Cause it would have: the keeper has forgotten the key by then.
-  Scenario Outline: A used key that comes again after <seconds> s
+  # Guards against the outcome "not run, safe to send again" for a request that ran: a
+  # request runs, and its key is repeated long after its deadline, when the keeper has
+  # forgotten it.
+  Scenario Outline: A used key that is repeated after <seconds> s
     Given 2 entry instances and 3 workers
     And a service "checks" that is "exclusive"
     When a caller sends a request under a key of "e0"
     And <seconds> s pass
-    And the caller repeats it by way of "e0"
+    And the caller repeats it through "e0"
     Then the repeat's outcome is "<outcome>" for "<reason>" and it ran 1 times
 
     Examples:
@@ -98,12 +98,12 @@
   Scenario: A leaving worker gets no new request, and those in flight end
     Given 3 entry instances and 2 workers
     And a service "checks" that is "exclusive"
-    When the instance list says that "w0" is leaving
+    When the instance list marks "w0" as leaving
     And 2 s pass
     And 40 requests are sent in a row
     Then none of them ran on "w0" and all are done
 
-  Scenario: Three times the load is refused early, and nothing overruns
+  Scenario: Three times the load is refused early, and no worker is overloaded
     Given 2 entry instances and 2 workers
     And a service "checks" that is "exclusive"
     When 400 requests arrive at once with 1 s to be answered in
--- a/features/steps/common_steps.py
+++ b/features/steps/common_steps.py
@@ -77,4 +77,4 @@
 
 @then("no promise was broken")
 def check_promises_kept(context):
-    context.scene.check_promises()
+    context.scene.check_invariants()
--- a/features/steps/configuration_steps.py
+++ b/features/steps/configuration_steps.py
@@ -1,4 +1,4 @@
-"""Steps that drive the configuration record by record."""
+"""Steps that apply records to a configuration, and steps for threshold settings."""
 
 import tempfile
 from pathlib import Path
@@ -30,7 +30,7 @@
         context.configuration.apply(offset, record)
 
 
-@when("the record of offset {offset:d} comes again")
+@when("the record of offset {offset:d} is delivered again")
 def again(context, offset):
     record = context.records[offset]
     context.verdict = context.configuration.apply(offset, record)
@@ -43,7 +43,7 @@
 
 
 @when("a record computed at offset {based_on:d} is appended at offset {offset:d}")
-def computed_earlier(context, based_on, offset):
+def append_from_older_state(context, based_on, offset):
     record = _record("late", based_on, False)
     context.verdict = context.configuration.apply(offset, record)
 
@@ -54,39 +54,39 @@
     context.configuration.restore(snapshot)
 
 
-def _check(context, drained, offset):
+def _check_rack(context, drained, offset):
     assert context.configuration.offset == offset
     assert (("rack", "r0") in context.configuration.drains) is drained
 
 
 @then("it is stale, and the rack is drained at offset {offset:d}")
-def stale(context, offset):
+def is_stale(context, offset):
     assert isinstance(context.verdict, Stale), context.verdict
-    _check(context, True, offset)
+    _check_rack(context, True, offset)
 
 
 @then('it is void for "{reason}", and the rack is drained at offset {offset:d}')
-def void(context, reason, offset):
+def is_void(context, reason, offset):
     assert isinstance(context.verdict, Void), context.verdict
     assert reason in context.verdict.reason
-    _check(context, True, offset)
+    _check_rack(context, True, offset)
 
 
 @then("the rack is drained at offset {offset:d}")
 def drained_at(context, offset):
-    _check(context, True, offset)
+    _check_rack(context, True, offset)
 
 
 @then("the rack is filled at offset {offset:d}")
 def filled_at(context, offset):
-    _check(context, False, offset)
+    _check_rack(context, False, offset)
 
 
 @when("thresholds are read from {text}")
 def read_thresholds(context, text):
-    folder = tempfile.TemporaryDirectory()
-    context.add_cleanup(folder.cleanup)
-    path = Path(folder.name, "settings.json")
+    directory = tempfile.TemporaryDirectory()
+    context.add_cleanup(directory.cleanup)
+    path = Path(directory.name, "settings.json")
     path.write_text(text)
     context.error = ""
     usual = InstanceSettings("i0-1", "i0", "dc-1", 1.0)
@@ -102,7 +102,7 @@
 
 
 @then("the lease is {lease_s:d} s and a view is stale after {stale_s:d} s")
-def both_set(context, lease_s, stale_s):
+def lease_and_staleness_set(context, lease_s, stale_s):
     assert context.settings.cell.lease_s == lease_s
     assert context.settings.stale_s == stale_s
 
--- a/features/steps/coordination_steps.py
+++ b/features/steps/coordination_steps.py
@@ -1,4 +1,4 @@
-"""Steps for ownership, recovery and configuration."""
+"""Steps for ownership, recovery and configuration under faults."""
 
 import json
 
@@ -11,10 +11,10 @@
 
 
 @given(
-    "entry instances that sum up each {records:d} records, "
+    "entry instances that snapshot every {records:d} records, "
     "and a log that keeps {kept:d}"
 )
-def small_log(context, records, kept):
+def start_with_limited_log(context, records, kept):
     context.scene = Scene(3, 4)
     context.scene.limits = {"config_snapshot_records": records}
     context.scene.log.kept = kept
@@ -68,7 +68,7 @@
     for name in scene.names:
         scene.network.cut_both(name, worker_id)
     scene.machines[worker_id].crash()
-    scene.listed.remove(worker_id)
+    scene.instance_list.remove(worker_id)
 
 
 @then('the job "{job_id}" of {tasks:d} tasks is done within {within_s:g} s')
@@ -78,7 +78,7 @@
 
 
 @then('every task of "{job_id}" has run')
-def all_ran(context, job_id):
+def every_task_ran(context, job_id):
     assert context.scene.job_done(job_id, context.tasks)
     context.appends = context.scene.log.appends
 
@@ -104,14 +104,14 @@
 
 
 @then('the job "{job_id}" is recorded as over within {within_s:g} s')
-def recorded(context, job_id, within_s):
+def recorded_as_over(context, job_id, within_s):
     scene = context.scene
     tables = [i.control.jobs.table for i in scene.instances.values()]
     assert scene.until(lambda: all(job_id in t.finished for t in tables), within_s)
 
 
 @then("at most {appends:d} appends were made since")
-def few_appends(context, appends):
+def check_append_count(context, appends):
     made = context.scene.log.appends - context.appends
     assert 0 < made <= appends, made
 
@@ -135,7 +135,7 @@
 
 
 @step("the log keeps only {kept:d} records of each stream")
-def forgetful_log(context, kept):
+def limit_log_retention(context, kept):
     context.scene.log.kept = kept
 
 
@@ -150,7 +150,7 @@
         scene.pass_s(0.2)
 
 
-@then('the log has forgotten that "{job_id}" was accepted')
+@then('the log no longer has the acceptance of "{job_id}"')
 def forgotten(context, job_id):
     stream = context.scene.log.streams[f"home.{HOME}"]
     records = [
--- a/features/steps/job_steps.py
+++ b/features/steps/job_steps.py
@@ -1,4 +1,4 @@
-"""Steps for batch work under pressure."""
+"""Steps for batch work with cancellations, quotas, faults and evictions."""
 
 from dataclasses import replace
 
@@ -10,14 +10,14 @@
 from hornbeampaddle.resources import Resources
 from hornbeampaddle_wire.http_messages import Request
 
-WATCH_STEP_S = 0.05
-# Long enough for the owner to hear of an attempt's end and to have it recorded.
-OWNER_AFTER_S = 1.5
-# Until all instances have read the list and what was on its way has arrived.
-LISTED_S = 1.5
+POLL_INTERVAL_S = 0.05
+# Enough time for the owner to learn of an attempt's end and to have it recorded.
+END_RECORDED_WAIT_S = 1.5
+# Until all instances have read the instance list and calls in flight have arrived.
+LIST_PROPAGATION_S = 1.5
 
 
-def _runs(context):
+def _running_orders(context):
     return [
         run.order
         for machine in context.scene.machines.values()
@@ -25,8 +25,10 @@
     ]
 
 
-def _costly(context):
-    return {order.attempt for order in _runs(context) if order.costly_to_evict}
+def _costly_attempts(context):
+    return {
+        order.attempt for order in _running_orders(context) if order.costly_to_evict
+    }
 
 
 @step("{jobs:d} jobs of {tasks:d} tasks of {run_s:g} s are submitted")
@@ -51,50 +53,52 @@
 
 
 @then("no attempt of the {jobs:d} jobs runs within {within_s:g} s")
-def none_runs(context, jobs, within_s):
-    def clear():
-        return not [o for o in _runs(context) if o.attempt.task_id[:4] == "wave"]
+def no_wave_attempt_runs(context, jobs, within_s):
+    def wave_stopped():
+        return not [
+            o for o in _running_orders(context) if o.attempt.task_id[:4] == "wave"
+        ]
 
-    assert context.scene.until(clear, within_s)
+    assert context.scene.until(wave_stopped, within_s)
 
 
-@step('a quota of {cpu_millis:d} millis of processor for the team "{team}"')
-def quota(context, cpu_millis, team):
+@step('a quota of {cpu_millis:d} CPU millis for the team "{team}"')
+def set_quota(context, cpu_millis, team):
     scene = context.scene
     plan = scene.plan("e0", ChangeQuota(team, Needs(cpu_millis, 100 * GIB, 0)))
     assert scene.confirm("e0", plan)[0] == 200
-    assert scene.until(lambda: scene.config_everywhere(f"quota:{team}"))
+    assert scene.until(lambda: scene.config_change_applied(f"quota:{team}"))
 
 
 @then("at no moment do more than {most:d} of its tasks run")
-def never_more(context, most):
+def quota_never_exceeded(context, most):
     seen = 0
     for _ in range(200):
-        context.scene.pass_s(WATCH_STEP_S)
-        seen = max(seen, len(_runs(context)))
+        context.scene.pass_s(POLL_INTERVAL_S)
+        seen = max(seen, len(_running_orders(context)))
         assert seen <= most, seen
     assert seen > 0
 
 
 @step('the worker "{worker_id}" fails whatever it starts')
-def fails(context, worker_id):
+def fail_on_worker(context, worker_id):
     context.scene.machines[worker_id].fails_everything = True
 
 
 @step("every worker fails whatever it starts")
-def all_fail(context):
+def fail_on_all_workers(context):
     for machine in context.scene.machines.values():
         machine.fails_everything = True
 
 
 @then('at most {most:d} attempts failed on "{worker_id}"')
-def few_failed(context, most, worker_id):
+def check_failed_attempts(context, most, worker_id):
     failures = context.scene.ledger.attempts_begun - context.tasks
     assert 0 < failures <= most, failures
 
 
 @then('the job "{job_id}" is over with {tasks:d} tasks "{end}" within {within_s:g} s')
-def over_with(context, job_id, tasks, end, within_s):
+def job_over_with(context, job_id, tasks, end, within_s):
     scene = context.scene
 
     def over():
@@ -125,12 +129,12 @@
 def submit_cheap(context, tasks, run_s):
     context.scene.submit("e1", "cheap", tasks, run_s)
     scene = context.scene
-    assert scene.until(lambda: len(_runs(context)) == tasks + 6)
-    context.costly = _costly(context)
+    assert scene.until(lambda: len(_running_orders(context)) == tasks + 6)
+    context.costly = _costly_attempts(context)
 
 
 @when("an operator adds a service that needs half of each worker")
-def add_half(context):
+def add_half_worker_service(context):
     scene = context.scene
     needs = Needs(1000, GIB, 0)
     intent = AddService("checks", "exclusive", needs, "dispatch", 4)
@@ -145,21 +149,21 @@
 
     def opened():
         slot_groups = [
-            lane
+            slot_group
             for instance in scene.instances.values()
-            for lane in instance.control.slots.slot_groups.values()
+            for slot_group in instance.control.slots.slot_groups.values()
         ]
         return len(slot_groups) == len(scene.machines) and all(
-            lane.open for lane in slot_groups
+            slot_group.open for slot_group in slot_groups
         )
 
     assert scene.until(opened, within_s)
 
 
 @then("none of the costly tasks was stopped")
-def costly_stay(context):
+def no_costly_task_stopped(context):
     assert len(context.costly) == 6
-    assert _costly(context) == context.costly
+    assert _costly_attempts(context) == context.costly
     assert context.scene.ledger.attempts_stopped > 0
 
 
@@ -180,7 +184,7 @@
     'an at-most-once job "{job_id}" of {tasks:d} tasks of {run_s:g} s '
     'is submitted to "{name}"'
 )
-def submit_once(context, job_id, tasks, run_s, name):
+def submit_at_most_once(context, job_id, tasks, run_s, name):
     response = context.scene.submit(name, job_id, tasks, run_s, at_most_once=True)
     assert response.status == 201
     context.tasks = tasks
@@ -200,7 +204,7 @@
 def all_run_soon(context, tasks, job_id, within_s):
     def running():
         prefix = f"{job_id}/"
-        orders = _runs(context)
+        orders = _running_orders(context)
         return sum(o.attempt.task_id.startswith(prefix) for o in orders) == tasks
 
     assert context.scene.until(running, within_s)
@@ -212,12 +216,12 @@
 
 
 @step('a service "{service}" that fills its workers')
-def add_filling(context, service):
+def add_filling_service(context, service):
     scene = context.scene
     intent = AddService(service, "exclusive", Needs(2000, GIB, 0), "dispatch", 4)
     status, verdict = scene.confirm("e0", scene.plan("e0", intent))
     assert status == 200, verdict
-    assert scene.until(lambda: scene.config_everywhere(f"service:{service}"))
+    assert scene.until(lambda: scene.config_change_applied(f"service:{service}"))
 
 
 @step('{count:d} requests to "{service}" that take {run_s:g} s are in flight')
@@ -278,7 +282,7 @@
     for number in range(times):
         begun = number + 1
         assert scene.until(lambda begun=begun: scene.ledger.attempts_begun >= begun)
-        scene.pass_s(OWNER_AFTER_S)
+        scene.pass_s(END_RECORDED_WAIT_S)
         owners = [
             name
             for name, instance in scene.instances.items()
@@ -307,13 +311,13 @@
 
 @when('the worker "{worker_id}" {how} to {cores:d} cores')
 def resize(context, worker_id, how, cores):
-    """Let the list say it first: what is on its way is allowed a moment."""
+    """Change the instance list first, so that calls in flight still arrive."""
     scene = context.scene
     machine = scene.machines[worker_id]
     capacity = Resources(1000 * cores, 32 * GIB, 0)
     resized = replace(machine.worker, capacity=capacity)
-    scene.listed.put(resized)
-    scene.pass_s(LISTED_S)
+    scene.instance_list.put(resized)
+    scene.pass_s(LIST_PROPAGATION_S)
     machine.worker = resized
 
 
@@ -340,5 +344,5 @@
 
 
 @then("its slots are open again within {within_s:g} s")
-def slots_again(context, within_s):
+def slots_reopen(context, within_s):
     slots_open(context, within_s)
--- a/features/steps/order_steps.py
+++ b/features/steps/order_steps.py
@@ -1,4 +1,4 @@
-"""Steps on orders and stops that are lost, late or refused."""
+"""Steps for starts and stops that are lost, late, refused or ignored."""
 
 import asyncio
 
@@ -16,46 +16,46 @@
 
 
 @given("one order in ten is carried out 4 s late")
-def late_orders(context):
+def delay_some_orders(context):
     context.world.faults.late_ratio = 0.1
 
 
-@then('nothing of "{name}" runs {seconds_s:g} s later')
-def nothing_runs(context, name, seconds_s):
+@then('no task of "{name}" runs {seconds_s:g} s later')
+def no_task_runs(context, name, seconds_s):
     play(context, asyncio.sleep(seconds_s))
     assert running(context.world, name) == 0
 
 
 @when(
     'a job "{name}" of {steps:d} steps of {tasks:d} tasks is handed in '
-    "while no worker is reached"
+    "while no worker is reachable"
 )
-def hand_in_cut_off(context, name, steps, tasks):
+def submit_while_cut_off(context, name, steps, tasks):
     world = context.world
     world.faults.partitioned |= {(i, w) for i in world.instances for w in world.workers}
     submit_job(context, name, steps, tasks, URGENT)
 
 
 @when("the workers are reached again")
-def reach_workers(context):
+def reconnect_workers(context):
     context.world.faults.partitioned.clear()
 
 
 @when("the workers are reached again but carry out no order")
-def reach_unwell_workers(context):
-    reach_workers(context)
+def reconnect_unwell_workers(context):
+    reconnect_workers(context)
     for worker in context.world.workers.values():
         worker.unwell = True
 
 
 @when("the workers carry out orders again")
-def make_well(context):
+def recover_workers(context):
     for worker in context.world.workers.values():
         worker.unwell = False
 
 
 @step("{kind}s {fate} from now on")
-def order_fate(context, kind, fate):
+def set_order_fate(context, kind, fate):
     if fate.endswith(" s late"):
         context.world.faults.late_s = float(fate.split()[-3])
         fate = OrderFate.LATE.value
@@ -63,12 +63,12 @@
 
 
 @step("orders are carried out at once again")
-def no_fates(context):
+def clear_order_fates(context):
     context.world.faults.fates.clear()
 
 
 @when('a lasting job "{name}" of {tasks:d} tasks is handed in')
-def hand_in_lasting(context, name, tasks):
+def submit_lasting(context, name, tasks):
     step_ = plain(tasks, 4000, lasting=True)
     context.outcome = play(context, context.world.submit(job_id(name), URGENT, step_))
     assert context.outcome == Accepted()
@@ -81,23 +81,23 @@
 
 
 @then("no task of a cancelled job ran on")
-def none_ran_on(context):
+def no_cancelled_task_ran_on(context):
     runs_past_cancellation = context.world.checker.runs_past_cancellation(
         context.loop.time()
     )
     assert not runs_past_cancellation, runs_past_cancellation
 
 
-@then("no room is taken on any worker")
-def no_room_taken(context):
+@then("no capacity is reserved on any worker")
+def no_capacity_reserved(context):
     world = context.world
     cell = world.instances[world.holder()].holder.cell
     taken = {name: w.taken for name, w in cell.workers.items() if w.taken != NOTHING}
     assert not taken, taken
 
 
-@when("a worker runs a task of a job that nobody knows")
-def unknown_run(context):
+@when("a worker runs a task of an unknown job")
+def begin_unknown_run(context):
     world = context.world
     worker = world.workers["w0"]
     key = TaskKey(job_id("fade"), 0, 0, 0)
@@ -106,9 +106,9 @@
     act(context, worker._begin, context.stray)
 
 
-@when('a worker runs an earlier start of a task of "{name}" beside its newest')
-def earlier_run(context, name):
-    """Let an order that was given up be carried out before the one that follows it."""
+@when('a worker runs an earlier attempt of a task of "{name}" beside its newest')
+def begin_earlier_run(context, name):
+    """Begin a run whose start was given up, before the run that follows it."""
     world = context.world
     cell = world.instances[world.holder()].holder.cell
     run = next(r for r in cell.jobs[job_id(name)].runs())
@@ -122,7 +122,7 @@
 
 
 @then("that run is ended within {seconds_s:g} s")
-def stray_ended(context, seconds_s):
+def stray_run_ended(context, seconds_s):
     world = context.world
     worker = world.workers[context.stray.worker_id]
 
@@ -138,7 +138,7 @@
     context.world.store.write(Topic.JOBS, Keyed(job_id(name), None))
 
 
-@then("the holder is the same")
+@then("the holder has not changed")
 def same_holder(context):
     assert context.world.holder() == context.before, context.world.holder()
 
--- a/features/steps/parser_steps.py
+++ b/features/steps/parser_steps.py
@@ -1,4 +1,4 @@
-"""Steps that try parsers and small parts on generated input, with a fixed seed."""
+"""Steps that test parsers, clocks and allocations on generated, repeatable input."""
 
 import asyncio
 import json
@@ -22,7 +22,7 @@
 from hornbeampaddle_wire.http_server import HttpLimits, HttpServer
 from hornbeampaddle_wire.peers import PeerSockets
 
-FIXED = settings(
+REPEATABLE = settings(
     derandomize=True,
     max_examples=200,
     deadline=None,
@@ -39,9 +39,9 @@
 )
 
 
-@FIXED
+@REPEATABLE
 @given(st.text() | st.from_regex(r"[a-z!0-9]*![0-9]*!", fullmatch=False))
-def keys_any(text):
+def check_keys_any_text(text):
     match parse_key(text):
         case Ok(key):
             assert str(key) == text
@@ -49,18 +49,18 @@
             assert reason
 
 
-@FIXED
+@REPEATABLE
 @given(times, st.floats(0.001, 1e4))
-def keys_round_trip(now_s, valid_s):
+def check_keys_round_trip(now_s, valid_s):
     keeper = Keeper("brno", "e0~1", 100)
     key = keeper.mint(now_s, now_s + valid_s)
     assert parse_key(str(key)) == Ok(key)
     assert keeper.keeps(key)
 
 
-@FIXED
+@REPEATABLE
 @given(st.text())
-def attempts_any(text):
+def check_attempt_ids_any_text(text):
     try:
         attempt = AttemptId.parse(text)
     except ValueError:
@@ -68,28 +68,28 @@
     assert text.startswith(f"{attempt.task_id}#")
 
 
-@FIXED
+@REPEATABLE
 @given(names, st.integers(0, 10**12), st.integers(0, 10**6))
-def attempts_round_trip(task_id, term, number):
+def check_attempt_ids_round_trip(task_id, term, number):
     attempt = AttemptId(task_id, term, number)
     assert AttemptId.parse(str(attempt)) == attempt
 
 
-@FIXED
+@REPEATABLE
 @given(st.text())
-def settings_text(text):
+def check_settings_any_text(text):
     assert isinstance(parse_settings(text), Ok | Err)
 
 
-@FIXED
+@REPEATABLE
 @given(json_values)
-def settings_json(value):
+def check_settings_any_json(value):
     assert isinstance(parse_settings(json.dumps(value)), Err)
 
 
-@FIXED
+@REPEATABLE
 @given(st.binary())
-def records_any(data):
+def check_records_any_bytes(data):
     for kind in (ConfigRecord, HomeRecord):
         try:
             msgspec.msgpack.decode(data, type=kind)
@@ -97,9 +97,9 @@
             continue
 
 
-@FIXED
+@REPEATABLE
 @given(st.binary(max_size=200))
-def peers_any(data):
+def check_peer_messages_any_bytes(data):
     delivered = []
     sockets = PeerSockets("brno", "e0~1", b"key", lambda *m: delivered.append(m))
     sockets.take(data)
@@ -123,19 +123,19 @@
     return answer
 
 
-@settings(FIXED, max_examples=60)
+@settings(REPEATABLE, max_examples=60)
 @given(
     st.binary(max_size=60), st.sampled_from([b"", b"\r\n\r\n", b" HTTP/1.1\r\n\r\n"])
 )
-def heads_any(data, end):
+def check_request_heads_any_bytes(data, end):
     answer = asyncio.run(_send(data + end))
     assert answer == b"" or answer.startswith(b"HTTP/1.1 ")
 
 
-@FIXED
+@REPEATABLE
 @given(st.floats(-0.01, 0.01), times, times, st.floats(0, 100), st.floats(0, 100))
-def clocks_safe(error, offset_s, stamp_at_s, delay_s, ahead_s):
-    """A deadline named on a remote clock passes there before it does here."""
+def check_clocks_safe(error, offset_s, stamp_at_s, delay_s, ahead_s):
+    """A deadline converted to a remote clock passes there no later than locally."""
     rate = 1 + error
 
     def remote(real_s):
@@ -145,56 +145,58 @@
     received_s = stamp_at_s + delay_s
     clock.observe(remote(stamp_at_s), received_s)
     deadline_s = received_s + ahead_s
-    there_s = clock.remote_deadline_before(deadline_s)
+    remote_deadline_s = clock.remote_deadline_before(deadline_s)
     slack_s = 1e-6 * max(1.0, deadline_s, offset_s)
-    assert remote(deadline_s) >= there_s - slack_s
-    assert remote(clock.local_time_past(there_s)) >= there_s - slack_s
+    assert remote(deadline_s) >= remote_deadline_s - slack_s
+    assert (
+        remote(clock.local_time_past(remote_deadline_s)) >= remote_deadline_s - slack_s
+    )
 
 
-@FIXED
+@REPEATABLE
 @given(st.lists(st.tuples(st.booleans(), st.integers(0, 9), st.integers(0, 5000))))
-def books_hold(steps):
-    book = AllocationTable(Resources(10_000, 10_000, 0), Resources(2_000, 0, 0))
+def check_allocations_bounded(steps):
+    table = AllocationTable(Resources(10_000, 10_000, 0), Resources(2_000, 0, 0))
     for take, number, size in steps:
         attempt = AttemptId("job/0", 1, number)
         needs = Resources(size, size, 0)
         order = TaskOrder(attempt, "e0~1/0", "team", "kind", needs, 1.0)
         if take:
-            book.take(Allocation(order, AllocationState.STARTING, 0.0))
+            table.take(Allocation(order, AllocationState.STARTING, 0.0))
         else:
-            book.release(attempt)
-        assert not book.is_overcommitted()
-    for attempt in list(book.allocations):
-        book.release(attempt)
-    assert book.room() + book.reserved == book.capacity
-    assert NOTHING.fits_in(book.room())
-
-
-TRIED = {
-    "request keys, any text": keys_any,
-    "request keys, round trip": keys_round_trip,
-    "attempt ids, any text": attempts_any,
-    "attempt ids, round trip": attempts_round_trip,
-    "settings, any text": settings_text,
-    "settings, any JSON": settings_json,
-    "records, any bytes": records_any,
-    "peer messages, any bytes": peers_any,
-    "request heads, any bytes": heads_any,
-    "clocks keep deadlines safe": clocks_safe,
-    "books never overdraw": books_hold,
+            table.release(attempt)
+        assert not table.is_overcommitted()
+    for attempt in list(table.allocations):
+        table.release(attempt)
+    assert table.room() + table.reserved == table.capacity
+    assert NOTHING.fits_in(table.room())
+
+
+CHECKS = {
+    "request keys, any text": check_keys_any_text,
+    "request keys, round trip": check_keys_round_trip,
+    "attempt ids, any text": check_attempt_ids_any_text,
+    "attempt ids, round trip": check_attempt_ids_round_trip,
+    "settings, any text": check_settings_any_text,
+    "settings, any JSON": check_settings_any_json,
+    "records, any bytes": check_records_any_bytes,
+    "peer messages, any bytes": check_peer_messages_any_bytes,
+    "request heads, any bytes": check_request_heads_any_bytes,
+    "clocks keep deadlines safe": check_clocks_safe,
+    "books never overdraw": check_allocations_bounded,
 }
 
 
 @when('"{parser}" is tried on generated input')
 def try_parser(context, parser):
-    context.problem = None
+    context.parser_error = None
     try:
-        TRIED[parser]()
+        CHECKS[parser]()
     except Exception as error:
-        context.problem = error
+        context.parser_error = error
 
 
-@then("it took or refused everything")
-def took_all(context):
-    if context.problem is not None:
-        raise context.problem
+@then("it accepted or refused every input")
+def check_no_exception(context):
+    if context.parser_error is not None:
+        raise context.parser_error
--- a/features/steps/process_steps.py
+++ b/features/steps/process_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the binaries as processes."""
+"""Steps that run the command-line programs and the daemon as processes."""
 
 import http.client
 import json
@@ -30,7 +30,7 @@
     "drain_timeout_s": 5.0,
 }
 TRACEPARENT = "00-0af7651916cd43dd8448eb211c80319c-b7ad6b7169203331-01"
-ASKED_MAX = 5000
+POLLS_MAX = 5000
 SERVICE = {
     "type": "AddService",
     "service": "checks",
@@ -47,8 +47,8 @@
 def start(context, workers, count):
     stack = ExitStack()
     context.add_cleanup(stack.close)
-    described = stack.enter_context(standins(workers, rack_size=2))
-    platform = described["platform"]
+    standins_info = stack.enter_context(standins(workers, rack_size=2))
+    platform = standins_info["platform"]
     context.entries = stack.enter_context(entries(count, platform, TIMING))
     context.folder = stack.enter_context(tempfile.TemporaryDirectory())
     context.workers = workers
@@ -62,28 +62,28 @@
 def start_slow(context, workers, run_s):
     stack = ExitStack()
     context.add_cleanup(stack.close)
-    described = stack.enter_context(standins(workers, service_ms=1000 * run_s))
+    standins_info = stack.enter_context(standins(workers, service_ms=1000 * run_s))
     timing = {**TIMING, "drain_timeout_s": 60.0}
-    context.entries = stack.enter_context(entries(1, described["platform"], timing))
+    context.entries = stack.enter_context(entries(1, standins_info["platform"], timing))
     wait_for_workers(context.entries, workers)
     context.entries[0].confirm(SERVICE)
 
 
-@when("a request is on its way")
+@when("a request is in flight")
 def request_on_its_way(context):
     entry = context.entries[0]
     connection = http.client.HTTPConnection(LOOPBACK, entry.callers, timeout=WAIT_S)
     context.add_cleanup(connection.close)
     headers = {"request-timeout-s": "60"}
     connection.request("POST", "/v1/requests/checks", b"card", headers)
-    assert _until(lambda: entry.look("status")["services"][0]["in_flight"] == 1)
+    assert _poll(lambda: entry.look("status")["services"][0]["in_flight"] == 1)
 
 
 @when("it still runs")
 def still_runs(context):
-    """Drain has begun, and the request keeps the instance from ending."""
+    """Check that the drain has begun and the request keeps the process running."""
     entry = context.entries[0]
-    assert _until(lambda: entry.look("status")["leaving"])
+    assert _poll(lambda: entry.look("status")["leaving"])
     assert entry.process.poll() is None
 
 
@@ -94,21 +94,19 @@
 def start_traced(context, workers, count):
     stack = ExitStack()
     context.add_cleanup(stack.close)
-    described = stack.enter_context(standins(workers))
+    standins_info = stack.enter_context(standins(workers))
     context.folder = Path(stack.enter_context(tempfile.TemporaryDirectory()))
     context.entries = stack.enter_context(
-        entries(count, described["platform"], TIMING, context.folder)
+        entries(count, standins_info["platform"], TIMING, context.folder)
     )
     wait_for_workers(context.entries, workers)
     context.entries[0].confirm(SERVICE)
 
 
-@when(
-    "a request under a key of the first is sent to the second with a trace of its own"
-)
-def forwarded(context):
+@when("a request under a key of the first is sent to the second with its trace context")
+def send_forwarded_request(context):
     first, second = context.entries
-    assert _until(lambda: all(p["live"] for p in second.look("status")["peers"]))
+    assert _poll(lambda: all(p["live"] for p in second.look("status")["peers"]))
     key = first.post(first.callers, "keys", {"count": 1})["keys"][0]
     connection = http.client.HTTPConnection(LOOPBACK, second.callers, timeout=WAIT_S)
     headers = {"request-key": key, "traceparent": TRACEPARENT}
@@ -126,8 +124,8 @@
         entry.process.wait(WAIT_S)
 
 
-@then("the spans are caller.request, entry.forward and worker.run, each in the last")
-def spans(context):
+@then("the spans caller.request, entry.forward and worker.run are nested in this order")
+def check_spans(context):
     lines = [
         json.loads(line)
         for entry in context.entries
@@ -141,9 +139,9 @@
     assert found["worker.run"]["parent"] == found["entry.forward"]["span"]
 
 
-def _until(condition):
-    """Ask again and again until a condition holds, a bounded number of times."""
-    return any(condition() for _ in range(ASKED_MAX))
+def _poll(condition):
+    """Poll a condition, a bounded number of times; return whether it came to hold."""
+    return any(condition() for _ in range(POLLS_MAX))
 
 
 @when('the command "{line}" is run')
@@ -170,19 +168,19 @@
 
 
 @then('it exits with {code:d} and prints "{text}"')
-def exits(context, code, text):
+def check_exit(context, code, text):
     printed = context.done.stdout + context.done.stderr
     assert context.done.returncode == code, printed
     assert text in printed, printed
 
 
 @then('it prints "{text}"')
-def prints(context, text):
+def check_printed(context, text):
     assert text in context.done.stdout + context.done.stderr
 
 
 @then("it does not print the operators' token")
-def no_token(context):
+def token_not_printed(context):
     assert SECRET not in context.done.stdout + context.done.stderr
 
 
@@ -193,8 +191,8 @@
     process.wait(WAIT_S)
 
 
-@then("the first decides for all {workers:d} workers")
-def first_decides(context, workers):
+@then("the first manages all {workers:d} workers")
+def first_manages_all(context, workers):
     wait_for_workers(context.entries[:1], workers)
 
 
@@ -204,17 +202,17 @@
 
 
 @then("it exits with {code:d} by itself")
-def exits_by_itself(context, code):
+def check_process_exit(context, code):
     assert context.entries[0].process.wait(WAIT_S) == code
 
 
 @when('the daemon is run with "{command}" on settings with two faults')
-def daemon_faults(context, command):
+def run_daemon_faulty(context, command):
     run_daemon(context, command, {"instance_id": "two words", "spare": 1})
 
 
 @when('the daemon is run with "{command}" on good settings')
-def daemon_good(context, command):
+def run_daemon_valid(context, command):
     run_daemon(context, command, {})
 
 
--- a/features/steps/request_steps.py
+++ b/features/steps/request_steps.py
@@ -9,7 +9,7 @@
 BODY = b"driver card"
 
 
-def _ran(context):
+def _run_count(context):
     return sum(context.scene.ledger.requests_begun.values())
 
 
@@ -27,7 +27,7 @@
 @then('the outcome is "{outcome}" and it ran {runs:d} times')
 def outcome_is(context, outcome, runs):
     assert _outcome(context.first) == outcome, context.first.body
-    assert _ran(context) == runs, _ran(context)
+    assert _run_count(context) == runs, _run_count(context)
 
 
 @when('a caller sends a request under a key of "{name}"')
@@ -39,7 +39,7 @@
     assert _outcome(context.first) == "done", context.first.body
 
 
-@when('the caller repeats it by way of "{name}"')
+@when('the caller repeats it through "{name}"')
 def repeat(context, name):
     scene = context.scene
     request = scene.request("checks", key=context.key, body=BODY)
@@ -47,14 +47,14 @@
 
 
 @when("the caller sends another body under the same key")
-def other_body(context):
+def send_other_body(context):
     scene = context.scene
     request = scene.request("checks", key=context.key, body=b"another card")
     context.second = scene.call("e0", request)
 
 
 @when('a caller sends a request under a forged key of "{name}"')
-def forged(context, name):
+def send_under_forged_key(context, name):
     scene = context.scene
     key = scene.keys(name)[0]
     forged_key = key[:-1] + ("0" if key[-1] != "0" else "1")
@@ -62,18 +62,18 @@
 
 
 @when('a caller gets a key of "{name}" and uses it after {seconds_s:g} s')
-def late_use(context, name, seconds_s):
+def use_key_late(context, name, seconds_s):
     scene = context.scene
     key = scene.keys(name)[0]
     scene.pass_s(seconds_s)
     context.first = scene.call(name, scene.request("checks", key=key))
 
 
-@then("both got the same whole answer and it ran {runs:d} times")
+@then("both got the same complete answer and it ran {runs:d} times")
 def same_answer(context, runs):
     assert context.first.body == context.second.body == BODY
     assert _outcome(context.second) == "done"
-    assert _ran(context) == runs
+    assert _run_count(context) == runs
 
 
 @then('the repeat\'s outcome is "{outcome}" for "{reason}" and it ran {runs:d} times')
@@ -90,7 +90,7 @@
     assert _outcome(context.second) == outcome, context.second.body
     if reason:
         assert json.loads(context.second.body)["reason"] == reason
-    assert _ran(context) == runs, _ran(context)
+    assert _run_count(context) == runs, _run_count(context)
 
 
 @when("each instance is drained and started anew while callers send")
@@ -98,9 +98,9 @@
     scene = context.scene
     for name in list(scene.instances):
         for number in range(20):
-            through = sorted(scene.instances)[number % len(scene.instances)]
+            instance_name = sorted(scene.instances)[number % len(scene.instances)]
             label = (name, number)
-            scene.call_later(through, scene.request("checks", body=BODY), label)
+            scene.call_later(instance_name, scene.request("checks", body=BODY), label)
         instance = scene.instances[name]
         scene.run(instance.drain())
         del scene.instances[name]
@@ -110,23 +110,23 @@
 
 
 @then("every request was done, or not run and safe to send again")
-def all_certain(context):
+def every_outcome_certain(context):
     scene = context.scene
     assert scene.until(lambda: len(scene.outcomes) == context.sent)
     outcomes = [_outcome(response) for response in scene.outcomes.values()]
     assert set(outcomes) <= {"done", "not_run"}, outcomes
-    assert outcomes.count("done") == _ran(context)
+    assert outcomes.count("done") == _run_count(context)
     assert outcomes.count("done") > context.sent / 2
-    scene.check_promises()
+    scene.check_invariants()
 
 
-@when('the instance list says that "{worker_id}" is leaving')
+@when('the instance list marks "{worker_id}" as leaving')
 def leaving(context, worker_id):
     context.scene.mark(worker_id, Standing.LEAVING)
 
 
 @when("{count:d} requests are sent in a row")
-def send_row(context, count):
+def send_in_sequence(context, count):
     scene = context.scene
     names = sorted(scene.instances)
     context.row = [
@@ -136,14 +136,14 @@
 
 
 @then('none of them ran on "{worker_id}" and all are done')
-def none_there(context, worker_id):
+def none_ran_on_worker(context, worker_id):
     workers = {response.headers.get("request-worker") for response in context.row}
     assert worker_id not in workers, workers
     assert {_outcome(response) for response in context.row} == {"done"}
 
 
 @when("{count:d} requests arrive at once with {timeout_s:g} s to be answered in")
-def flood(context, count, timeout_s):
+def send_at_once(context, count, timeout_s):
     scene = context.scene
     scene.run_s = 0.2
     names = sorted(scene.instances)
@@ -168,5 +168,5 @@
     for response in context.row:
         if _outcome(response) == "not_run":
             assert json.loads(response.body)["reason"]
-    assert outcomes.count("done") == _ran(context)
-    context.scene.check_promises()
+    assert outcomes.count("done") == _run_count(context)
+    context.scene.check_invariants()
--- a/features/steps/whole_path_steps.py
+++ b/features/steps/whole_path_steps.py
@@ -1,4 +1,4 @@
-"""Steps for requests, jobs and plans on the whole path."""
+"""Steps for requests, jobs and operator plans end to end."""
 
 import asyncio
 import json
@@ -19,7 +19,7 @@
     }
 
 
-@then("each caller gets the whole answer to its own request")
+@then("each caller gets the complete answer to its own request")
 def own_answers(context):
     for name, response in context.responses.items():
         assert response.headers["request-outcome"] == "done", response.body
@@ -27,7 +27,7 @@
 
 
 @when(
-    'a job "{job_id}" whose tasks need {cpu_millis:d} millis of processor '
+    'a job "{job_id}" whose tasks need {cpu_millis:d} CPU millis '
     'is submitted to "{name}"'
 )
 def submit_large(context, job_id, cpu_millis, name):
@@ -76,14 +76,14 @@
 
 
 @then('the workers "{names}" are empty within {within_s:g} s')
-def empty(context, names, within_s):
+def workers_empty(context, names, within_s):
     scene = context.scene
     machines = [scene.machines[name] for name in names.split()]
     assert scene.until(lambda: not any(m.runs for m in machines), within_s)
 
 
 @then("exactly the attempts that the plan named were stopped")
-def as_planned(context):
+def stopped_as_planned(context):
     stops = [e for e in context.plan["effects"] if e["verb"] == "stop"]
     stopped = context.scene.ledger.attempts_stopped
     assert stopped == len(stops), (stopped, stops)
@@ -93,7 +93,7 @@
 @when('operators plan at "{one}" and at "{other}" to add services that share workers')
 def plan_two(context, one, other):
     def intent(service):
-        # Each alone fits on every worker; both together do not.
+        # Each service fits on every worker alone, but not both together.
         return AddService(service, "exclusive", Needs(1200, 0, 0), "dispatch", 4)
 
     context.plans = {
@@ -139,10 +139,10 @@
 def in_force_once(context):
     scene = context.scene
     assert context.status == 200, context.verdict
-    history = scene.look("e1", "/v1/config")["history"]
+    history = scene.operator_get("e1", "/v1/config")["history"]
     applied = [h for h in history if h["record_id"] == context.plan["plan_id"]]
     assert [h["applied"] for h in applied] == [True], history
-    assert len(scene.look("e1", "/v1/config")["drains"]) == 1
+    assert len(scene.operator_get("e1", "/v1/config")["drains"]) == 1
 
 
 @when('an operator plans at "{name}" to evacuate the data centre')
@@ -153,7 +153,7 @@
 @when('an operator plans at "{name}" to evacuate "{data_centre}"')
 def plan_unknown_evacuation(context, name, data_centre):
     intent = Evacuate(data_centre)
-    context.answer = context.scene.operate(name, "/v1/plans", intent)
+    context.answer = context.scene.operator_post(name, "/v1/plans", intent)
 
 
 @then('the intent is refused because "{reason}"')
@@ -169,12 +169,14 @@
 
 
 @then('"status" and "explain" say that "{job_id}" waits for the data centre')
-def say_evacuated(context, job_id):
+def wait_reason_is_evacuation(context, job_id):
     scene = context.scene
-    assert scene.look("e0", "/v1/status")["evacuated"] == HOME
-    whys = {scene.look(n, f"/v1/explain/{job_id}/0")["why"] for n in scene.instances}
-    wanted = f"waits until the data centre {HOME} is no longer evacuated"
-    assert wanted in whys, whys
+    assert scene.operator_get("e0", "/v1/status")["evacuated"] == HOME
+    reasons = {
+        scene.operator_get(n, f"/v1/explain/{job_id}/0")["why"] for n in scene.instances
+    }
+    expected = f"waits until the data centre {HOME} is no longer evacuated"
+    assert expected in reasons, reasons
 
 
 @when('an operator takes the data centre back at "{name}"')
--- a/features/support/__init__.py
+++ b/features/support/__init__.py
@@ -1,1 +1,1 @@
-"""Drive real entry instances in virtual time, over small fakes of the platform."""
+"""Run real entry instances in virtual time on small fakes of the platform."""
--- a/features/support/network.py
+++ b/features/support/network.py
@@ -1,4 +1,4 @@
-"""Stand between instances and the platform: delay, lose, repeat, cut, pause."""
+"""Simulate the links between instances and the platform, with faults and pauses."""
 
 import asyncio
 import random
@@ -13,13 +13,13 @@
 from hornbeampaddle_wire.peers import PeerSockets
 
 CALL_TIMEOUT_S = 1.0
-IN_ORDER_S = 0.005
-LATE_S = 1.5
+IN_ORDER_DELAY_MAX_S = 0.005
+LATE_START_DELAY_S = 1.5
 
 
 @dataclass
 class Faults:
-    """How often things go wrong, as probabilities of one message."""
+    """The probabilities that a message is late or repeated, or its answer lost."""
 
     late: float = 0.0
     answer_lost: float = 0.0
@@ -29,16 +29,16 @@
 
 @dataclass
 class Network:
-    """All links; ends are named by instance id, worker id or ``log``."""
+    """All links; their ends are instance ids, worker ids or ``log``."""
 
     rng: random.Random
     faults: Faults = field(default_factory=Faults)
     cut: set = field(default_factory=set)
     gates: dict = field(default_factory=dict)
     peers: dict = field(default_factory=dict)
-    # What goes wrong with the next runs of requests, in order.
+    # The faults of the next runs of requests, in order.
     run_faults: list = field(default_factory=list)
-    # The same for the next starts of attempts.
+    # The faults of the next starts of attempts, in order.
     start_faults: list = field(default_factory=list)
     last_arrival_s: dict = field(default_factory=dict)
 
@@ -48,10 +48,10 @@
         return self.rng.uniform(0.0005, 0.003)
 
     def arrival_s(self, source, target):
-        """Return when a message comes in: in order, but for the late ones."""
+        """Return when a message arrives: in order, except for late messages."""
         now_s = asyncio.get_running_loop().time()
         at_s = now_s + self.delay_s()
-        if at_s - now_s > IN_ORDER_S:
+        if at_s - now_s > IN_ORDER_DELAY_MAX_S:
             return at_s
         last_s = self.last_arrival_s.get((source, target), 0.0)
         self.last_arrival_s[(source, target)] = max(at_s, last_s + 1e-6)
@@ -72,10 +72,10 @@
             await gate.wait()
 
     async def exchange(self, source, target, effect):
-        """Carry a call to ``target``, let it take effect, carry the answer back.
+        """Deliver a call to ``target``, let it take effect, and return the answer.
 
-        Returns NotSent, NoAnswer or what ``effect`` returned. A late call takes
-        effect even when its caller has stopped waiting.
+        Returns NotSent, NoAnswer or the result of ``effect``. A late call takes effect
+        even when its caller has stopped waiting.
         """
         await self.gate(source)
         loop = asyncio.get_running_loop()
@@ -91,9 +91,9 @@
             value = effect()
             lost = self.rng.random() < self.faults.answer_lost
             if not lost and self.open(target, source):
-                loop.call_later(self.delay_s(), come_back, value)
+                loop.call_later(self.delay_s(), return_answer, value)
 
-        def come_back(value):
+        def return_answer(value):
             if not answer.done():
                 answer.set_result(value)
 
@@ -108,7 +108,7 @@
 
 
 class FakePeers(PeerSockets):
-    """Peer sockets whose bytes go through the network's faults."""
+    """Peer sockets whose messages are subject to the network's faults."""
 
     def __init__(self, network, instance_id, data_centre, incarnation, receiver):
         super().__init__(data_centre, incarnation, b"key", receiver)
@@ -143,7 +143,7 @@
 
 
 class FakeWorker:
-    """A worker port onto a worker's state machine."""
+    """A worker port that calls a worker's state machine."""
 
     def __init__(self, network, instance_id, machine, clock, run_s):
         self.network = network
@@ -176,7 +176,7 @@
             )
 
         if fault == "late":
-            asyncio.get_running_loop().call_later(LATE_S, effect)
+            asyncio.get_running_loop().call_later(LATE_START_DELAY_S, effect)
             return NoAnswer("no answer")
         answer = await self._call(effect)
         return NoAnswer("no answer") if fault == "answer lost" else answer
@@ -244,7 +244,7 @@
             return NoAnswer("timed out")
         answer = await self._call(lambda: value)
         if isinstance(answer, NotSent):
-            # The request had been sent; it is the answer that did not come.
+            # The request was sent, and only its answer is missing.
             return NoAnswer(answer.detail)
         return answer
 
@@ -259,7 +259,7 @@
 
 
 class FakeLog:
-    """A log port onto the log's state machine."""
+    """A log port that calls the log's state machine."""
 
     def __init__(self, network, instance_id, machine):
         self.network = network
@@ -295,15 +295,15 @@
 
 
 class FakeList:
-    """The instance list, read without delay but only as new as it is told."""
+    """An instance list port without delay, as up to date as the list it reads."""
 
-    def __init__(self, listed):
-        self.listed = listed
+    def __init__(self, instance_list):
+        self.instance_list = instance_list
         self.version = 0
 
     async def workers(self, data_centre):
-        if self.version == self.listed.version:
+        if self.version == self.instance_list.version:
             return Ok(None)
-        self.version = self.listed.version
-        workers = self.listed.workers.values()
+        self.version = self.instance_list.version
+        workers = self.instance_list.workers.values()
         return Ok([w for w in workers if w.data_centre == data_centre])
--- a/features/support/scene.py
+++ b/features/support/scene.py
@@ -1,4 +1,4 @@
-"""Build a data centre of real entry instances on fakes, and act on it."""
+"""Build and control a data centre of real entry instances on a fake platform."""
 
 import asyncio
 import itertools
@@ -45,38 +45,38 @@
     "clock_rate_error_ratio": RATE_ERROR,
 }
 
-BROKEN = []
+LOGGED_ERRORS = []
 
 
-def _keep_errors(logger, method, event):
-    """Keep what an instance logs as an error: a broken invariant."""
+def _collect_errors(logger, method, event):
+    """Collect what an instance logs as an error: each means a broken invariant."""
     if method in ("error", "exception", "critical"):
         info = sys.exc_info()[1]
         text = "".join(traceback.format_exception(info)) if info else ""
-        BROKEN.append(f"{event['event']} {text}")
+        LOGGED_ERRORS.append(f"{event['event']} {text}")
     raise structlog.DropEvent
 
 
-structlog.configure(processors=[_keep_errors])
+structlog.configure(processors=[_collect_errors])
 
 
 class Scene:
-    """One data centre in virtual time; ``run`` drives coroutines to their end."""
+    """One data centre in virtual time; ``run`` runs a coroutine to its end."""
 
     def __init__(
         self, instances=3, workers=4, seed=1, run_s=0.05, cores=8, timing=None
     ):
-        BROKEN.clear()
+        LOGGED_ERRORS.clear()
         self.loop = VirtualLoop()
         self.rng = random.Random(seed)
         self.limits = {}
         self.timing = TIMING if timing is None else timing
         self.network = Network(self.rng)
         self.log = LogMachine()
-        self.listed = InstanceList()
+        self.instance_list = InstanceList()
         self.ledger = Ledger()
         self.run_s = run_s
-        self.lives = itertools.count(1)
+        self.incarnation_numbers = itertools.count(1)
         self.instances = {}
         self.machines = {}
         self.clocks = {}
@@ -91,8 +91,8 @@
         name = f"w{number}"
         address = Address("127.0.0.1", 9000 + number)
         worker = Worker(name, address, HOME, f"r{number // 2}", capacity)
-        # The workers take whatever they are given, and the ledger counts it: no
-        # promise may rest on a worker's own refusal of what does not fit.
+        # The workers accept any amount of work, and the ledger records overruns: no
+        # guarantee may depend on a worker's own refusal of what does not fit.
         machine = WorkerMachine(
             worker, self.ledger, enforces_capacity=False, checkpoints=checkpoints
         )
@@ -100,9 +100,9 @@
         offset_s = self.rng.uniform(0, 100_000)
         self.machines[name] = machine
         self.clocks[name] = lambda: self.loop.time() * rate + offset_s
-        self.listed.put(worker)
+        self.instance_list.put(worker)
 
-    # Driving
+    # Virtual time
 
     def run(self, coroutine):
         return self.loop.run_until_complete(coroutine)
@@ -120,7 +120,7 @@
         return bool(condition())
 
     def until(self, condition, within_s=30.0):
-        """Let time pass until a condition holds; tell whether it came to hold."""
+        """Let time pass until a condition holds; return whether it does."""
         return self.run(self._until(condition, within_s))
 
     def close(self):
@@ -130,7 +130,7 @@
         self.loop.close()
 
     async def _end_calls(self):
-        """Cancel the calls that nobody will answer any more."""
+        """Cancel the calls that are still waiting for an answer."""
         current = asyncio.current_task()
         calls = [t for t in asyncio.all_tasks() if t is not current]
         for call in calls:
@@ -160,35 +160,35 @@
         return Settings.model_validate_json(json.dumps(raw))
 
     def start(self, name):
-        """Start an instance in a new life."""
-        incarnation = f"{name}~{next(self.lives)}"
+        """Start an instance as a new incarnation."""
+        incarnation = f"{name}~{next(self.incarnation_numbers)}"
         network = self.network
 
         def worker_port(worker):
-            name_ = worker.worker_id
-            machine, clock = self.machines[name_], self.clocks[name_]
+            machine_name = worker.worker_id
+            machine, clock = self.machines[machine_name], self.clocks[machine_name]
             return FakeWorker(network, name, machine, clock, lambda: self.run_s)
 
         ports = Ports(
             log=FakeLog(network, name, self.log),
-            instances=FakeList(self.listed),
+            instances=FakeList(self.instance_list),
             worker=worker_port,
             peers=lambda life, receiver: FakePeers(network, name, HOME, life, receiver),
         )
 
-        async def begin():
+        async def start_instance():
             instance = Instance(
                 self._settings(name), ports, self.rng.random(), incarnation
             )
-            self._obey_pauses(instance, name)
+            self._block_while_paused(instance, name)
             instance.start_tasks()
             return instance
 
-        self.instances[name] = self.run(begin())
+        self.instances[name] = self.run(start_instance())
         return self.instances[name]
 
-    def _obey_pauses(self, instance, name):
-        """Let the control task handle nothing while the process is paused."""
+    def _block_while_paused(self, instance, name):
+        """Block the control task while the process is paused."""
         mailbox = instance.control.mailbox
         get = mailbox.get
 
@@ -205,7 +205,7 @@
         assert self.until(lambda: self.held() >= len(self.machines)), "no deciders"
 
     def held(self):
-        """Return how many workers have a live decider whose epoch is in force."""
+        """Return how many workers have a live decider with their current epoch."""
         current = set()
         for instance in self.instances.values():
             for decider in instance.control.fleet.held():
@@ -215,7 +215,7 @@
         return len(current)
 
     def kill(self, name):
-        """End an instance's process at once."""
+        """Kill an instance's process."""
         self.resume(name)
         instance = self.instances.pop(name)
         self.run(instance.stop())
@@ -274,24 +274,24 @@
         headers = {"authorization": f"Bearer {TOKEN}"}
         return Request("POST", path, headers, msgspec.json.encode(value))
 
-    def operate(self, name, path, value):
+    def operator_post(self, name, path, value):
         request = self.operator_request(path, value)
         response = self.run(self.instances[name].operator_api.handle(request))
         return response.status, json.loads(response.body)
 
-    def look(self, name, path):
+    def operator_get(self, name, path):
         headers = {"authorization": f"Bearer {TOKEN}"}
         request = Request("GET", path, headers)
         response = self.run(self.instances[name].operator_api.handle(request))
         return json.loads(response.body)
 
     def plan(self, name, intent):
-        status, plan = self.operate(name, "/v1/plans", intent)
+        status, plan = self.operator_post(name, "/v1/plans", intent)
         assert status == 200, plan
         return plan
 
     def confirm(self, name, plan):
-        return self.operate(name, "/v1/confirmations", plan)
+        return self.operator_post(name, "/v1/confirmations", plan)
 
     def add_service(self, service="checks", repeat="exclusive", slots=4, name="e0"):
         intent = AddService(
@@ -304,27 +304,27 @@
         status, verdict = self.confirm(name, self.plan(name, intent))
         assert status == 200, verdict
         name = f"service:{service}"
-        assert self.until(lambda: self.config_everywhere(name))
+        assert self.until(lambda: self.config_change_applied(name))
 
-    def config_everywhere(self, name):
-        """Tell whether every instance has seen a change of an object."""
+    def config_change_applied(self, name):
+        """Return whether every instance has applied a change to a configured object."""
         contexts = [instance.context for instance in self.instances.values()]
         return all(c.configuration.version(name) >= 0 for c in contexts)
 
-    # What the ledger says
+    # Checks
 
     def job_done(self, job_id, tasks):
         done = self.ledger.tasks_done
         return all(f"{job_id}/{i}" in done for i in range(tasks))
 
-    def check_promises(self):
-        assert not BROKEN, BROKEN[0]
+    def check_invariants(self):
+        assert not LOGGED_ERRORS, LOGGED_ERRORS[0]
         assert not self.ledger.doubled, self.ledger.doubled[:5]
         assert not self.ledger.overruns, self.ledger.overruns[:5]
 
     def mark(self, worker_id, standing=Standing.LEAVING):
-        self.listed.mark(worker_id, standing)
+        self.instance_list.mark(worker_id, standing)
 
     def move_worker(self, worker_id, port):
-        worker = self.listed.workers[worker_id]
-        self.listed.put(replace(worker, address=Address("127.0.0.1", port)))
+        worker = self.instance_list.workers[worker_id]
+        self.instance_list.put(replace(worker, address=Address("127.0.0.1", port)))
--- a/features/support/soak.py
+++ b/features/support/soak.py
@@ -1,4 +1,4 @@
-"""Walk through many seeds: ``python -m support.soak FIRST COUNT``."""
+"""Run random walks for many seeds: ``python -m support.soak FIRST COUNT``."""
 
 import sys
 
--- a/features/support/virtual_loop.py
+++ b/features/support/virtual_loop.py
@@ -1,11 +1,11 @@
-"""Run asyncio in virtual time: waiting costs nothing and is repeatable."""
+"""Run asyncio in virtual time: waiting takes no real time and is repeatable."""
 
 import asyncio
 import selectors
 
 
-class NothingLeft(RuntimeError):
-    """Every task waits for something that will never come."""
+class DeadlockError(RuntimeError):
+    """No task is ready and no timer is pending, so the loop can never continue."""
 
 
 class _Selector(selectors.SelectSelector):
@@ -16,13 +16,13 @@
         if ready:
             return ready
         if timeout is None:
-            raise NothingLeft
+            raise DeadlockError
         self.loop.now_s += timeout
         return ready
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """An event loop whose clock jumps to the next timer."""
+    """An event loop whose clock advances directly to the next timer."""
 
     def __init__(self, start_s=100.0):
         selector = _Selector()
--- a/features/support/walk.py
+++ b/features/support/walk.py
@@ -1,4 +1,4 @@
-"""Walk at random through faults, with real instances in virtual time."""
+"""Run random sequences of faults and load on real instances in virtual time."""
 
 import asyncio
 import random
@@ -25,7 +25,7 @@
 
 
 class Walk:
-    """One walk; ``broken`` says what was wrong, or is empty."""
+    """One random sequence of actions, determined by its seed."""
 
     def __init__(self, seed):
         self.rng = random.Random(seed)
@@ -39,31 +39,31 @@
         scene.start_all()
         repeat = self.rng.choice(["exclusive", "at_most_once"])
         scene.add_service(SERVICE, repeat)
-        self._choose_message_faults()
+        self._draw_message_faults()
         for number in range(STEPS):
             getattr(self, self.rng.choice(ACTIONS))(number)
             scene.pass_s(self.rng.choice([0.1, 0.5, 1.0, 2.0]))
-            scene.check_promises()
-        self._mend_everything()
+            scene.check_invariants()
+        self._remove_faults()
         assert scene.until(self._all_done, FINISH_S), "accepted jobs did not finish"
-        scene.check_promises()
+        scene.check_invariants()
         self._check_outcomes()
 
-    def _choose_message_faults(self):
+    def _draw_message_faults(self):
         faults = self.scene.network.faults
         faults.late = self.rng.choice([0, 0.02, 0.1])
         faults.answer_lost = self.rng.choice([0, 0.02, 0.1])
         faults.repeated = self.rng.choice([0, 0.1])
 
-    def _awake(self):
+    def _running_instances(self):
         gates = self.scene.network.gates
         return [name for name in self.scene.instances if name not in gates]
 
     # Actions
 
     def job(self, number):
-        awake = self._awake()
-        if not awake:
+        running = self._running_instances()
+        if not running:
             return
         spec = JobSpec(
             job_id=f"j{number}",
@@ -76,7 +76,7 @@
             costly_to_evict=self.rng.random() < 0.3,
         )
         request = Request("POST", "/v1/jobs", {}, msgspec.json.encode(spec))
-        api = self.scene.instances[self.rng.choice(awake)].caller_api
+        api = self.scene.instances[self.rng.choice(running)].caller_api
         task = self.scene.loop.create_task(api.handle(request))
         waiting = asyncio.wait({task}, timeout=CALL_WAIT_S)
         self.scene.run(waiting)
@@ -84,19 +84,19 @@
             self.accepted.append(spec)
 
     def requests(self, number):
-        for name in self._awake():
+        for name in self._running_instances():
             key = self.scene.keys(name, valid_s=6)[0]
             label = len(self.sent)
             self.sent.append((key, f"body {label}".encode()))
             self._send(name, label, (label, "first"))
 
     def repeat(self, number):
-        awake = self._awake()
-        if not awake or not self.sent:
+        running = self._running_instances()
+        if not running or not self.sent:
             return
         for turn in range(3):
             label = self.rng.randrange(len(self.sent))
-            self._send(self.rng.choice(awake), label, (label, number, turn))
+            self._send(self.rng.choice(running), label, (label, number, turn))
 
     def _send(self, name, label, outcome_label):
         key, body = self.sent[label]
@@ -144,9 +144,9 @@
     def log_well(self, number):
         self.scene.log.fault = LogFault.NONE
 
-    # The end
+    # Final checks
 
-    def _mend_everything(self):
+    def _remove_faults(self):
         scene = self.scene
         scene.network.heal()
         faults = scene.network.faults
@@ -161,7 +161,7 @@
         return all(done(spec.job_id, spec.tasks) for spec in self.accepted)
 
     def _check_outcomes(self):
-        """Hold every answer against what the workers really ran."""
+        """Compare every answer with what the workers ran."""
         by_label = {}
         for label, response in self.scene.outcomes.items():
             by_label.setdefault(label[0], []).append(response)
@@ -176,7 +176,7 @@
 
 
 def walk(seed):
-    """Run one walk and close its scene; return the scene's ledger."""
+    """Run one random walk, close its scene and return its ledger."""
     one = Walk(seed)
     try:
         one.run()
--- a/features/whole_path.feature
+++ b/features/whole_path.feature
@@ -1,11 +1,11 @@
-Feature: The whole path
-  Urgent requests are answered, batch work finishes, operators are obeyed.
+Feature: Requests, jobs and operator plans end to end
+  Urgent requests are answered, batch jobs finish, and operators' plans are carried out.
 
   Scenario: A request is served through any instance
     Given 3 entry instances and 4 workers
     And a service "checks" that is "exclusive"
     When a caller sends a request to each instance
-    Then each caller gets the whole answer to its own request
+    Then each caller gets the complete answer to its own request
 
   Scenario: A job's tasks all finish once
     Given 3 entry instances and 4 workers
@@ -13,9 +13,9 @@
     Then the job "archive" is done within 20 s
     And no promise was broken
 
-  # What a user sees: the jobs of an instance that died never go on.
-  # Order: an owner dies; its peers keep promising not to succeed it.
-  # Cause: promises were renewed for peers that were no longer heard.
+  # Guards against jobs that never continue after their instance died: an owner dies,
+  # and its peers keep renewing their promise not to take its jobs over, although they
+  # no longer receive its heartbeats.
   Scenario: Another instance finishes the jobs of one that died
     Given 3 entry instances and 4 workers
     And a job "archive" of 20 tasks of 3 s is submitted to "e1"
@@ -26,7 +26,7 @@
 
   Scenario: A job that can never run is refused at once, with the reason
     Given 2 entry instances and 2 workers
-    When a job "huge" whose tasks need 9000 millis of processor is submitted to "e0"
+    When a job "huge" whose tasks need 9000 CPU millis is submitted to "e0"
     Then the submission is not run because "never_fits: cpu_millis"
 
   Scenario: Nothing changes before a plan is confirmed
@@ -44,9 +44,9 @@
     And the job "archive" is done within 40 s
     And no promise was broken
 
-  # What a user sees: a confirmed drain stops work that its plan never named.
-  # Order: a plan is made; more tasks start in the rack; the plan is confirmed.
-  Scenario: A plan that would by now stop more than it said is refused
+  # Guards against a confirmed drain that stops work that its plan did not name: a plan
+  # is made, more tasks start in the rack, and the plan is confirmed.
+  Scenario: A plan that would now stop more than it listed is refused
     Given 3 entry instances and 4 workers
     And a job "archive" of 4 tasks of 30 s is submitted to "e0"
     And all 4 attempts run
@@ -57,8 +57,9 @@
     Then the plan is refused because "it would now also stop"
     And no attempt was stopped
 
-  # What a user sees: of two operators one is told that the other came first.
-  # Order: both plan from the same configuration, then both confirm.
+  # Guards against two conflicting changes in force: both operators plan from the same
+  # configuration, then both confirm. One of them has to be told that the other came
+  # first.
   Scenario: Of two operators who race, exactly one wins
     Given 3 entry instances and 4 workers
     When operators plan at "e0" and at "e1" to add services that share workers
@@ -75,7 +76,8 @@
     And the operator confirms the plan at "e1"
     Then the plan is in force once
 
-  # What a user sees: tasks start in a data centre that is to be emptied, or end there.
+  # Guards against tasks that start in a data centre that is being evacuated, and
+  # against tasks that are ended there.
   Scenario: Nothing new starts in an evacuated data centre, and what runs there runs on
     Given 3 entry instances and 4 workers
     And a service "checks" that is "exclusive"
